--- a/jackdawd/internal/dispatch/budget.go
+++ b/jackdawd/internal/dispatch/budget.go
@@ -3,52 +3,52 @@
 import "sync"
 
 const (
-	// retryShare is how many retries each first try adds to the budget.
-	retryShare = 0.1
-	// maxRetries bounds the budget, and is what a new host starts with.
-	maxRetries = 20
+	// retryRatio is how many retries each first attempt adds to the budget.
+	retryRatio = 0.1
+	// maxRetryBalance bounds the accumulated retries; a new host starts with it.
+	maxRetryBalance = 20
 )
 
-// A Budget bounds a host's retries to a share of its first tries, so that an
-// outage of upstreams raises the load on the rest by that share at most.
+// A Budget limits a host's retries to a ratio of its first attempts, so that an
+// outage of some upstreams raises the load on the others by that ratio at most.
 type Budget struct {
-	mu    sync.Mutex
-	left  float64
-	share float64
-	most  float64
+	mu         sync.Mutex
+	balance    float64
+	ratio      float64
+	maxBalance float64
 }
 
-// NewBudget returns a full budget.
+// NewBudget returns a full budget with the default ratio and maximum.
 func NewBudget() *Budget {
-	return NewBudgetOf(retryShare, maxRetries)
+	return NewBudgetOf(retryRatio, maxRetryBalance)
 }
 
-// NewBudgetOf returns a full budget to which each first try adds a share of a retry, up to the most given.
-func NewBudgetOf(share, most float64) *Budget {
-	return &Budget{left: most, share: share, most: most}
+// NewBudgetOf returns a full budget: each first attempt adds ratio retries, up to maxBalance.
+func NewBudgetOf(ratio, maxBalance float64) *Budget {
+	return &Budget{balance: maxBalance, ratio: ratio, maxBalance: maxBalance}
 }
 
-// Earn counts a first try.
+// Earn credits the budget for a first attempt.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.most, b.left+b.share)
+	b.balance = min(b.maxBalance, b.balance+b.ratio)
 }
 
-// Spend reports whether a retry may be made, and counts it.
+// Spend withdraws one retry, and reports whether the budget allowed it.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.left--
+	b.balance--
 	return true
 }
 
-// Left returns how many retries may be made, fractions included.
+// Left returns the retries available, fractions included.
 func (b *Budget) Left() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left
+	return b.balance
 }
--- a/jackdawd/internal/dispatch/deliver.go
+++ b/jackdawd/internal/dispatch/deliver.go
@@ -24,21 +24,21 @@
 )
 
 const (
-	// stallTimeout is how long an answer may pause before its connection counts as broken.
+	// stallTimeout is the longest pause between two frames before the connection counts as broken.
 	stallTimeout = 5 * time.Second
-	// An upstream may take this many times its class's target until its first
-	// frame, within bounds that leave room for long prompts.
-	firstFrameFactor  = 4
-	minFirstFrame     = 5 * time.Second
-	firstFrameTimeout = 30 * time.Second
-	maxResumes        = 3
-	// maxEmptyResumes is how often an answer without any frame is asked for again:
-	// once, to tell a broken connection from an upstream that hangs.
+	// The timeout for the first frame is firstFrameFactor times the class's target, within
+	// minFirstFrameTimeout and maxFirstFrameTimeout, which leave time to read long prompts.
+	firstFrameFactor     = 4
+	minFirstFrameTimeout = 5 * time.Second
+	maxFirstFrameTimeout = 30 * time.Second
+	maxResumes           = 3
+	// maxEmptyResumes limits resumes before the first frame to one, enough to tell
+	// a broken connection from a hanging upstream.
 	maxEmptyResumes = 1
 	resumeBackoff   = 50 * time.Millisecond
 )
 
-// deliver brings an item's answer from the upstream to the sink.
+// deliver sends an item to the upstream and streams the response to the sink.
 func (o *Owner) deliver(ctx context.Context, item *work.Item, u *routing.Upstream, limit *queue.Limit, sink delivery.Sink) error {
 	ctx, span := o.tracer.Start(ctx, "upstream", trace.WithAttributes(
 		attribute.String("upstream", u.Name()), attribute.String("model", item.Model), attribute.String("class", item.Class)))
@@ -46,125 +46,123 @@
 	if item.Service != nil {
 		return o.callService(ctx, item, u, sink)
 	}
-	p := &delivery.Progress{ID: item.ID}
-	last := time.Now()
-	observed := func(f upstream.Frame) error {
+	progress := &delivery.Progress{ID: item.ID}
+	lastFrameAt := time.Now()
+	observingSink := func(f upstream.Frame) error {
 		now := time.Now()
 		if f.Position > 0 {
-			limit.Observe(now, now.Sub(last))
+			limit.Observe(now, now.Sub(lastFrameAt))
 		}
-		last = now
+		lastFrameAt = now
 		return sink(f)
 	}
-	if err := o.begin(ctx, item, u, p, observed); err != nil {
+	if err := o.generate(ctx, item, u, progress, observingSink); err != nil {
 		return err
 	}
-	o.lengths.Observe(item.Class, p.Next)
+	o.outputLengths.Observe(item.Class, progress.Next)
 	return nil
 }
 
-// begin asks the upstream for the answer and resumes it where it breaks off.
-func (o *Owner) begin(ctx context.Context, item *work.Item, u *routing.Upstream, p *delivery.Progress, sink delivery.Sink) error {
+// generate sends the request to a model engine, and resumes the response after a broken connection.
+func (o *Owner) generate(ctx context.Context, item *work.Item, u *routing.Upstream, progress *delivery.Progress, sink delivery.Sink) error {
 	body, err := json.Marshal(upstream.Request{
 		ID: item.ID, Model: item.Model, Messages: item.Messages, MaxTokens: item.MaxTokens, Priority: item.Urgency.Rank(), Options: item.Options,
 	})
 	if err != nil {
 		return work.Refuse(http.StatusBadRequest, work.BadRequest, "the request cannot be encoded")
 	}
-	err = o.exchange(ctx, u, call{
+	err = o.doCall(ctx, u, call{
 		method: http.MethodPost, path: upstream.GeneratePath, body: body, idempotent: item.Idempotent,
-		first: min(max(firstFrameFactor*item.Target, minFirstFrame), firstFrameTimeout),
-	}, p, sink)
+		firstFrameTimeout: min(max(firstFrameFactor*item.Target, minFirstFrameTimeout), maxFirstFrameTimeout),
+	}, progress, sink)
 	if delivery.NeverSent(err) {
-		o.blame(ctx, u)
-		return work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s cannot be reached", u.Name()).Retry(retryWhenFull)
+		o.recordFailure(ctx, u)
+		return work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s cannot be reached", u.Name()).Retry(overloadRetryAfter)
 	}
-	return o.resume(ctx, u, p, sink, err)
+	return o.resume(ctx, u, progress, sink, err)
 }
 
-// blame takes a failed call as evidence against the upstream, unless it failed because the caller left.
-func (o *Owner) blame(ctx context.Context, u *routing.Upstream) {
+// recordFailure reports a failed call to the observer, unless the caller cancelled it.
+func (o *Owner) recordFailure(ctx context.Context, u *routing.Upstream) {
 	if ctx.Err() == nil {
 		o.observer.Observe(u.Name(), false)
 	}
 }
 
-// Resume brings the rest of an answer from the upstream to the sink.
-func (o *Owner) Resume(ctx context.Context, u *routing.Upstream, p *delivery.Progress, sink delivery.Sink) error {
-	return o.resume(ctx, u, p, sink, delivery.ErrBroken)
+// Resume streams the rest of a partly delivered response from the upstream to the sink.
+func (o *Owner) Resume(ctx context.Context, u *routing.Upstream, progress *delivery.Progress, sink delivery.Sink) error {
+	return o.resume(ctx, u, progress, sink, delivery.ErrBroken)
 }
 
-// resume goes on with an answer that broke off with err, until it is whole or the tries are used up.
-func (o *Owner) resume(ctx context.Context, u *routing.Upstream, p *delivery.Progress, sink delivery.Sink, err error) error {
-	for try := 0; err != nil; try++ {
+// resume retries a response that broke off with err until it is complete or the attempts are used up.
+func (o *Owner) resume(ctx context.Context, u *routing.Upstream, progress *delivery.Progress, sink delivery.Sink, err error) error {
+	for attempt := 0; err != nil; attempt++ {
 		if ctx.Err() != nil || errors.Is(err, delivery.ErrSink) {
 			return work.Uncertain(work.Cancelled, "the reader of the answer left")
 		}
-		var refused *work.Refusal
-		if errors.As(err, &refused) && try == 0 {
-			// Only the answer to the request itself can prove that it was not run;
-			// a refusal to resume says nothing about what the request did.
-			return refused
+		var refusal *work.Refusal
+		if errors.As(err, &refusal) && attempt == 0 {
+			// Only a refusal of the request itself proves that it was not run;
+			// a refusal to resume says nothing about its execution.
+			return refusal
 		}
-		if try == maxResumes || (p.Next == 0 && try == maxEmptyResumes) {
-			o.blame(ctx, u)
-			return work.Uncertain(work.UpstreamFailed, "upstream %s broke off at position %d: %v", u.Name(), p.Next, err)
+		if attempt == maxResumes || (progress.Next == 0 && attempt == maxEmptyResumes) {
+			o.recordFailure(ctx, u)
+			return work.Uncertain(work.UpstreamFailed, "upstream %s broke off at position %d: %v", u.Name(), progress.Next, err)
 		}
-		pause.For(ctx, resumeBackoff<<try)
-		path := upstream.RequestsPath + p.ID + "?from=" + strconv.Itoa(p.Next)
-		err = o.exchange(ctx, u, call{method: http.MethodGet, path: path, idempotent: true, first: stallTimeout}, p, sink)
+		pause.For(ctx, resumeBackoff<<attempt)
+		path := upstream.RequestsPath + progress.ID + "?from=" + strconv.Itoa(progress.Next)
+		err = o.doCall(ctx, u, call{method: http.MethodGet, path: path, idempotent: true, firstFrameTimeout: stallTimeout}, progress, sink)
 	}
 	o.observer.Observe(u.Name(), true)
 	return nil
 }
 
-// A call is one HTTP call of an upstream.
+// A call is one HTTP request to an upstream.
 type call struct {
-	method     string
-	path       string
-	body       []byte
-	idempotent bool
-	// first is how long the first frame may take.
-	first time.Duration
+	method            string
+	path              string
+	body              []byte
+	idempotent        bool
+	firstFrameTimeout time.Duration
 }
 
-// exchange makes one call and copies the frames of its answer.
-func (o *Owner) exchange(ctx context.Context, u *routing.Upstream, c call, p *delivery.Progress, sink delivery.Sink) error {
-	ctx, watch := watchStall(ctx, c.first)
-	defer watch.stop()
-	resp, err := o.send(ctx, u, c, p.ID)
+// doCall makes one HTTP request and copies the frames of its response to the sink.
+func (o *Owner) doCall(ctx context.Context, u *routing.Upstream, c call, progress *delivery.Progress, sink delivery.Sink) error {
+	ctx, stall := withStallTimeout(ctx, c.firstFrameTimeout)
+	defer stall.stop()
+	resp, err := o.send(ctx, u, c, progress.ID)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return refusedByUpstream(resp, u)
+		return errorForStatus(resp, u)
 	}
-	return delivery.Copy(resp.Body, p, func(f upstream.Frame) error {
-		watch.frame(stallTimeout)
+	return delivery.Copy(resp.Body, progress, func(f upstream.Frame) error {
+		stall.reset(stallTimeout)
 		return sink(f)
 	})
 }
 
-func (o *Owner) send(ctx context.Context, u *routing.Upstream, c call, id string) (*http.Response, error) {
+func (o *Owner) send(ctx context.Context, u *routing.Upstream, c call, requestID string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+u.Address()+c.path, bytes.NewReader(c.body))
 	if err != nil {
 		return nil, fmt.Errorf("call upstream %s: %w", u.Name(), err)
 	}
-	req.Header.Set(upstream.RequestIDHeader, id)
+	req.Header.Set(upstream.RequestIDHeader, requestID)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 	return o.client.DoFor(req, c.idempotent)
 }
 
-// refusedByUpstream returns what an upstream's error status means. A status says
-// nothing about execution, unless the protocol defines it so: 400 and 429 are
-// sent before a request is taken in.
-func refusedByUpstream(resp *http.Response, u *routing.Upstream) error {
+// errorForStatus returns the error for an upstream's HTTP status. Only 400 and 429
+// prove that the request was not run: by the protocol they are sent before execution.
+func errorForStatus(resp *http.Response, u *routing.Upstream) error {
 	switch resp.StatusCode {
 	case http.StatusBadRequest:
 		return work.Refuse(http.StatusBadRequest, work.BadRequest, "upstream %s refused the request", u.Name())
 	case http.StatusTooManyRequests:
-		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "upstream %s is full", u.Name()).Retry(retryWhenFull)
+		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "upstream %s is full", u.Name()).Retry(overloadRetryAfter)
 	default:
 		return fmt.Errorf("upstream %s answered with status %d", u.Name(), resp.StatusCode)
 	}
--- a/jackdawd/internal/dispatch/doc.go
+++ b/jackdawd/internal/dispatch/doc.go
@@ -1,7 +1,9 @@
-// Package dispatch takes an item of work from the entry host that its caller
-// reached to the owner of an upstream, and from there to the upstream.
+// Package dispatch forwards a request from the entry host that accepted it to the
+// entry host that owns the chosen upstream, and from there to the upstream.
 //
-// A Router follows an item through the fleet on behalf of its caller, and is the
-// only one to retry. An Owner decides where the item goes, queues it and delivers
-// its answer, or says where it is moved to. Between two hosts stands a Peer.
+// The accepting host's Router drives a request for its caller: it picks an upstream,
+// follows moves, and is the only place that retries. The Owner of the upstream
+// places the request by load, queues it and streams the response, or answers with a
+// Move to another upstream. A Peer carries requests between the two hosts. The
+// intake handler calls Router.Route; node serves PeerHandler to other entry hosts.
 package dispatch
--- a/jackdawd/internal/dispatch/owner.go
+++ b/jackdawd/internal/dispatch/owner.go
@@ -19,135 +19,134 @@
 )
 
 const (
-	// unknownCapacity stands for an upstream whose capacity the host list does not give.
-	unknownCapacity = 1 << 40
-	retryWhenFull   = 2 * time.Second
-	maxRetryAfter   = time.Minute
+	// unknownCapacity is the capacity, in tokens, of upstreams for which the host list gives none.
+	unknownCapacity    = 1 << 40
+	overloadRetryAfter = 2 * time.Second
+	maxRetryAfter      = time.Minute
 )
 
-// An Observer takes this host's own evidence on whether a host answers.
+// An Observer records whether calls from this host to another host or upstream succeed.
 type Observer interface {
 	Observe(name string, ok bool)
 }
 
-// An Owner passes work on to the upstreams that this host owns, each behind a queue.
+// An Owner queues requests for the upstreams that this host owns and sends them on.
 type Owner struct {
-	views    func() *routing.View
-	board    *routing.Board
-	lengths  *queue.Lengths
-	client   *delivery.Client
-	observer Observer
-	tracer   trace.Tracer
-	mu       sync.Mutex
-	queues   map[uint64]*line
-}
-
-// line is the queue before one upstream.
-type line struct {
+	currentView   func() *routing.View
+	balancer      *routing.Board
+	outputLengths *queue.Lengths
+	client        *delivery.Client
+	observer      Observer
+	tracer        trace.Tracer
+	mu            sync.Mutex
+	queues        map[uint64]*upstreamQueue
+}
+
+// upstreamQueue is one upstream's queue with its adaptive limit.
+type upstreamQueue struct {
 	queue *queue.Queue
 	limit *queue.Limit
 }
 
-// NewOwner returns an owner that counts loads on the board.
-func NewOwner(views func() *routing.View, board *routing.Board, client *delivery.Client, observer Observer) *Owner {
+// NewOwner returns an owner that counts upstream loads in the balancer.
+func NewOwner(currentView func() *routing.View, balancer *routing.Board, client *delivery.Client, observer Observer) *Owner {
 	return &Owner{
-		views:    views,
-		board:    board,
-		lengths:  queue.NewLengths(0),
-		client:   client,
-		observer: observer,
-		tracer:   otel.Tracer("jackdawd/dispatch"),
-		queues:   map[uint64]*line{},
+		currentView:   currentView,
+		balancer:      balancer,
+		outputLengths: queue.NewLengths(0),
+		client:        client,
+		observer:      observer,
+		tracer:        otel.Tracer("jackdawd/dispatch"),
+		queues:        map[uint64]*upstreamQueue{},
 	}
 }
 
-// counter counts one upstream's load on the board.
-type counter struct {
-	owner *Owner
-	model string
-	at    *routing.Upstream
+// loadCounter counts one upstream's load in the owner's balancer; it implements queue.Counter.
+type loadCounter struct {
+	owner    *Owner
+	model    string
+	upstream *routing.Upstream
 }
 
-// Fits reports whether the cost stays inside the load multiple.
-func (c counter) Fits(cost int64, urgency targets.Urgency) bool {
-	pool, ok := c.owner.views().Pool(c.model)
-	return !ok || c.owner.board.Fits(time.Now(), pool, c.at, cost, urgency)
+// Fits reports whether a request of that cost, in tokens, stays within the upstream's load bound.
+func (c loadCounter) Fits(cost int64, urgency targets.Urgency) bool {
+	pool, ok := c.owner.currentView().Pool(c.model)
+	return !ok || c.owner.balancer.Fits(time.Now(), pool, c.upstream, cost, urgency)
 }
 
-// Start counts the cost.
-func (c counter) Start(cost int64) { c.owner.board.Start(c.at, cost) }
+// Start adds the cost, in tokens, to the upstream's load.
+func (c loadCounter) Start(cost int64) { c.owner.balancer.Start(c.upstream, cost) }
 
-// Finish takes the cost off again.
-func (c counter) Finish(cost int64) { c.owner.board.Finish(c.at, cost) }
+// Finish subtracts the cost, in tokens, from the upstream's load.
+func (c loadCounter) Finish(cost int64) { c.owner.balancer.Finish(c.upstream, cost) }
 
-// Wake lets every queue look again whether its next request fits.
+// Wake makes every queue check again whether its next request fits.
 func (o *Owner) Wake() {
 	o.mu.Lock()
-	lines := make([]*line, 0, len(o.queues))
-	for _, l := range o.queues {
-		lines = append(lines, l)
+	queues := make([]*upstreamQueue, 0, len(o.queues))
+	for _, q := range o.queues {
+		queues = append(queues, q)
 	}
 	o.mu.Unlock()
-	for _, l := range lines {
-		l.queue.Wake()
+	for _, q := range queues {
+		q.queue.Wake()
 	}
 }
 
-// Depth returns the requests that wait before an upstream, their tokens and the limit.
+// Depth returns an upstream's queued requests, their tokens and the limit in tokens.
 func (o *Owner) Depth(u *routing.Upstream) (requests int, tokens, limit int64) {
 	o.mu.Lock()
-	l, ok := o.queues[u.Hash()]
+	q, ok := o.queues[u.Hash()]
 	o.mu.Unlock()
 	if !ok {
 		return 0, 0, u.Capacity()
 	}
-	requests, tokens = l.queue.Waiting()
-	return requests, tokens, l.limit.Tokens()
+	requests, tokens = q.queue.Waiting()
+	return requests, tokens, q.limit.Tokens()
 }
 
-// A Move says which upstream an item is moved to, if any, and how loaded the one was that it comes from.
+// A Move redirects an item to the upstream To, if set; SourceLoad is the load of the one it is moved from.
 type Move struct {
-	To   string     `json:"to"`
-	Seen *peers.Row `json:"seen,omitempty"`
+	To         string     `json:"to"`
+	SourceLoad *peers.Row `json:"seen,omitempty"`
 }
 
-// Serve brings an item's answer from the upstream named to the sink, or returns
-// the move to another upstream.
-func (o *Owner) Serve(ctx context.Context, item *work.Item, name string, attempt int, sink delivery.Sink) (Move, error) {
-	beginBy := time.Now().Add(item.BeginWithin)
-	seen := seenRows(item)
-	o.board.Merge(time.Now(), seen)
-	pool, ok := o.views().Pool(item.Model)
+// Serve streams the named upstream's response to the sink, or returns the move to
+// another upstream. The error is a *work.Refusal.
+func (o *Owner) Serve(ctx context.Context, item *work.Item, upstreamName string, attempt int, sink delivery.Sink) (Move, error) {
+	beginDeadline := time.Now().Add(item.BeginWithin)
+	visited := visitedRows(item)
+	o.balancer.Merge(time.Now(), visited)
+	pool, ok := o.currentView().Pool(item.Model)
 	if !ok {
 		return Move{}, work.Refuse(http.StatusNotFound, work.UnknownModel, "there is no model %q", item.Model)
 	}
-	at, ok := pool.Find(name)
+	u, ok := pool.Find(upstreamName)
 	if !ok {
-		return first(pool, item.Chat)
+		return moveToFirstChoice(pool, item.Chat)
 	}
-	c := routing.Candidate{
-		Chat: item.Chat, At: at, Cost: o.cost(item, pool), Returning: item.Returning(), Urgency: item.Urgency, Attempt: attempt, Seen: seen,
+	candidate := routing.Candidate{
+		Chat: item.Chat, At: u, Cost: o.estimateCost(item, pool), Returning: item.Returning(), Urgency: item.Urgency, Attempt: attempt, Seen: visited,
 	}
-	l := o.line(at, item.Model)
-	move, release, err := o.admit(ctx, pool, c, l, o.ticket(item, c.Cost, beginBy))
+	q := o.queueFor(u, item.Model)
+	move, release, err := o.admit(ctx, pool, candidate, q, o.newTicket(item, candidate.Cost, beginDeadline))
 	if err != nil {
-		return Move{}, refuseWaiting(err, item)
+		return Move{}, refusalForQueueError(err, item)
 	}
 	if move.To != "" {
 		return move, nil
 	}
 	defer release()
-	if !o.serves(item.Model, at) {
-		// It waited while its upstream left; passing it on now would give a
-		// leaving upstream new work.
-		return first(pool, item.Chat)
+	if !o.stillServes(item.Model, u) {
+		// The upstream left while the item waited; a leaving upstream gets no new work.
+		return moveToFirstChoice(pool, item.Chat)
 	}
-	return Move{}, o.deliver(ctx, item, at, l.limit, sink)
+	return Move{}, o.deliver(ctx, item, u, q.limit, sink)
 }
 
-// seenRows returns the loads that the item met where it was moved away. They are
-// exact and fresh: in a surge they tell of a rising mean before rows do.
-func seenRows(item *work.Item) []routing.Row {
+// visitedRows returns the loads of the upstreams that the item was moved away from.
+// They are exact and recent: in a surge they show a rising mean before exchanged rows do.
+func visitedRows(item *work.Item) []routing.Row {
 	rows := make([]routing.Row, len(item.Seen))
 	for i, r := range item.Seen {
 		rows[i] = routing.Row(r)
@@ -155,39 +154,39 @@
 	return rows
 }
 
-// admit waits for room at the candidate's upstream, or returns a move.
-func (o *Owner) admit(ctx context.Context, pool *routing.Pool, c routing.Candidate, l *line, t queue.Ticket) (Move, func(), error) {
-	placement, to := o.board.Place(time.Now(), pool, c)
+// admit waits until the candidate's upstream has room, or returns a move.
+func (o *Owner) admit(ctx context.Context, pool *routing.Pool, candidate routing.Candidate, q *upstreamQueue, ticket queue.Ticket) (Move, func(), error) {
+	placement, to := o.balancer.Place(time.Now(), pool, candidate)
 	if placement == routing.Moved {
-		return o.move(c, to), nil, nil
+		return o.moveTo(candidate, to), nil, nil
 	}
-	release, err := o.acquire(ctx, l, t, placement)
+	release, err := o.acquire(ctx, q, ticket, placement)
 	if placement != routing.Linger || !errors.Is(err, queue.ErrTooLate) {
 		return Move{}, release, err
 	}
-	if placement, to = o.board.Move(time.Now(), pool, c); placement == routing.Moved {
-		return o.move(c, to), nil, nil
+	if placement, to = o.balancer.Move(time.Now(), pool, candidate); placement == routing.Moved {
+		return o.moveTo(candidate, to), nil, nil
 	}
-	release, err = o.acquire(ctx, l, t, placement)
+	release, err = o.acquire(ctx, q, ticket, placement)
 	return Move{}, release, err
 }
 
-func (o *Owner) move(c routing.Candidate, to *routing.Upstream) Move {
-	row := peers.Row(o.board.Row(c.At))
-	return Move{To: to.Name(), Seen: &row}
+func (o *Owner) moveTo(candidate routing.Candidate, to *routing.Upstream) Move {
+	load := peers.Row(o.balancer.Row(candidate.At))
+	return Move{To: to.Name(), SourceLoad: &load}
 }
 
-// acquire waits for room; a request that lingers waits only part of its time.
-func (o *Owner) acquire(ctx context.Context, l *line, t queue.Ticket, placement routing.Placement) (release func(), err error) {
+// acquire waits for room in the queue; with placement Linger it waits only part of the remaining time.
+func (o *Owner) acquire(ctx context.Context, q *upstreamQueue, ticket queue.Ticket, placement routing.Placement) (release func(), err error) {
 	if placement == routing.Linger {
-		t.BeginBy = t.LingerUntil(time.Now())
+		ticket.BeginBy = ticket.LingerUntil(time.Now())
 	}
-	return l.queue.Acquire(ctx, t)
+	return q.queue.Acquire(ctx, ticket)
 }
 
-// serves reports whether the upstream still takes new work for a model.
-func (o *Owner) serves(model string, u *routing.Upstream) bool {
-	pool, ok := o.views().Pool(model)
+// stillServes reports whether the current view still has the upstream in the model's pool.
+func (o *Owner) stillServes(model string, u *routing.Upstream) bool {
+	pool, ok := o.currentView().Pool(model)
 	if !ok {
 		return false
 	}
@@ -195,60 +194,60 @@
 	return ok
 }
 
-// first returns the chat's first choice, for a host whose list differed.
-func first(pool *routing.Pool, chat uint64) (Move, error) {
+// moveToFirstChoice moves a chat to its first choice in this host's list, for a sender with another list.
+func moveToFirstChoice(pool *routing.Pool, chat uint64) (Move, error) {
 	ranked := pool.Rank(chat)
 	if len(ranked) == 0 {
-		return Move{}, work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "no upstream serves %q", pool.Model()).Retry(retryWhenFull)
+		return Move{}, work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "no upstream serves %q", pool.Model()).Retry(overloadRetryAfter)
 	}
 	return Move{To: ranked[0].Name()}, nil
 }
 
-func refuseWaiting(err error, item *work.Item) error {
+func refusalForQueueError(err error, item *work.Item) error {
 	var late *queue.LateError
 	if errors.As(err, &late) {
-		// The caller is told when there may be room, within bounds: the measured
-		// drain says little about more than a minute ahead.
-		after := min(max(late.Wait, retryWhenFull), maxRetryAfter)
-		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "class %q: %v", item.Class, err).Retry(after)
+		// Retry-After is the expected wait, within bounds: the measured drain rate
+		// does not predict more than a minute ahead.
+		retryAfter := min(max(late.Wait, overloadRetryAfter), maxRetryAfter)
+		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "class %q: %v", item.Class, err).Retry(retryAfter)
 	}
 	if errors.Is(err, queue.ErrTooLate) || errors.Is(err, queue.ErrFull) {
-		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "class %q: %v", item.Class, err).Retry(retryWhenFull)
+		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "class %q: %v", item.Class, err).Retry(overloadRetryAfter)
 	}
 	return work.Refuse(http.StatusServiceUnavailable, work.Cancelled, "the caller left: %v", err)
 }
 
-func (o *Owner) cost(item *work.Item, pool *routing.Pool) int64 {
+func (o *Owner) estimateCost(item *work.Item, pool *routing.Pool) int64 {
 	if pool.Kind() == targets.Service {
 		return 1
 	}
-	return item.PromptTokens() + o.lengths.Expect(item.Class, item.MaxTokens)
+	return item.PromptTokens() + o.outputLengths.Expect(item.Class, item.MaxTokens)
 }
 
-func (o *Owner) ticket(item *work.Item, cost int64, beginBy time.Time) queue.Ticket {
+func (o *Owner) newTicket(item *work.Item, cost int64, beginDeadline time.Time) queue.Ticket {
 	return queue.Ticket{
 		Workspace: item.Workspace,
 		Class:     item.Class,
 		Urgency:   item.Urgency,
-		Share:     o.views().Document().Classes[item.Class].Share,
+		Share:     o.currentView().Document().Classes[item.Class].Share,
 		Cost:      cost,
 		Returning: item.Returning(),
-		BeginBy:   beginBy,
+		BeginBy:   beginDeadline,
 	}
 }
 
-func (o *Owner) line(u *routing.Upstream, model string) *line {
+func (o *Owner) queueFor(u *routing.Upstream, model string) *upstreamQueue {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	l, ok := o.queues[u.Hash()]
+	q, ok := o.queues[u.Hash()]
 	if !ok {
 		capacity := u.Capacity()
 		if capacity == 0 {
 			capacity = unknownCapacity
 		}
 		limit := queue.NewLimit(capacity)
-		l = &line{limit: limit, queue: queue.New(limit, counter{owner: o, model: model, at: u})}
-		o.queues[u.Hash()] = l
+		q = &upstreamQueue{limit: limit, queue: queue.New(limit, loadCounter{owner: o, model: model, upstream: u})}
+		o.queues[u.Hash()] = q
 	}
-	return l
+	return q
 }
--- a/jackdawd/internal/dispatch/service.go
+++ b/jackdawd/internal/dispatch/service.go
@@ -16,19 +16,19 @@
 	"jackdawhinge/jackdawd/internal/work"
 )
 
-const maxServiceBytes = 8 << 20
+const maxServiceResponseBytes = 8 << 20
 
-// callService passes a call through to a plain service and its answer back in one frame.
+// callService calls a plain service and delivers its response as one frame.
 func (o *Owner) callService(ctx context.Context, item *work.Item, u *routing.Upstream, sink delivery.Sink) error {
-	inTime, cancel := context.WithTimeout(ctx, firstFrameTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, maxFirstFrameTimeout)
 	defer cancel()
-	answer, err := o.askService(inTime, item, u)
+	answer, err := o.requestService(callCtx, item, u)
 	if delivery.NeverSent(err) {
-		o.blame(ctx, u)
-		return work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s cannot be reached", u.Name()).Retry(retryWhenFull)
+		o.recordFailure(ctx, u)
+		return work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s cannot be reached", u.Name()).Retry(overloadRetryAfter)
 	}
 	if err != nil {
-		o.blame(ctx, u)
+		o.recordFailure(ctx, u)
 		return work.Uncertain(work.UpstreamFailed, "upstream %s gave no whole answer: %v", u.Name(), err)
 	}
 	o.observer.Observe(u.Name(), true)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (o *Owner) askService(ctx context.Context, item *work.Item, u *routing.Upstream) (*upstream.Answer, error) {
+func (o *Owner) requestService(ctx context.Context, item *work.Item, u *routing.Upstream) (*upstream.Answer, error) {
 	path := upstream.ServicePath + item.Model + "/" + item.Service.Path
 	req, err := http.NewRequestWithContext(ctx, item.Service.Method, "http://"+u.Address()+path, bytes.NewReader(item.Service.Body))
 	if err != nil {
@@ -57,7 +57,7 @@
 	if id := resp.Header.Get(upstream.RequestIDHeader); id != "" && id != item.ID {
 		return nil, &delivery.CrossedError{Want: item.ID, Got: id}
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceResponseBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/jackdawd/internal/dispatch/stall.go
+++ b/jackdawd/internal/dispatch/stall.go
@@ -8,26 +8,25 @@
 
 var errStalled = errors.New("no frame came in time")
 
-// A stallWatch ends a call whose other side hangs without closing the
-// connection. The caller would wait for ever; ending the call makes it a broken
-// one, which is resumed.
-type stallWatch struct {
+// A stallTimer cancels a call when the other side hangs without closing the
+// connection. The call then fails like one with a broken connection, and is resumed.
+type stallTimer struct {
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// watchStall returns a context that ends when the first frame does not come in time.
-func watchStall(ctx context.Context, first time.Duration) (context.Context, *stallWatch) {
+// withStallTimeout returns a context that is cancelled when no frame arrives in time.
+func withStallTimeout(ctx context.Context, firstFrameTimeout time.Duration) (context.Context, *stallTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	return ctx, &stallWatch{cancel: cancel, timer: time.AfterFunc(first, func() { cancel(errStalled) })}
+	return ctx, &stallTimer{cancel: cancel, timer: time.AfterFunc(firstFrameTimeout, func() { cancel(errStalled) })}
 }
 
-// frame notes that a frame came and that the next one is due within a time.
-func (s *stallWatch) frame(next time.Duration) {
-	s.timer.Reset(next)
+// reset restarts the timer after a frame, with the timeout for the next one.
+func (s *stallTimer) reset(timeout time.Duration) {
+	s.timer.Reset(timeout)
 }
 
-func (s *stallWatch) stop() {
+func (s *stallTimer) stop() {
 	s.timer.Stop()
 	s.cancel(nil)
 }
