--- a/jackdawd/internal/control/controller.go
+++ b/jackdawd/internal/control/controller.go
@@ -17,64 +17,65 @@
 )
 
 const (
-	// tick is how often evidence that has lapsed is looked for.
-	tick = 250 * time.Millisecond
-	// pollWait is how long one read of the configuration stream waits for a change.
-	pollWait = 30 * time.Second
-	// listEvery is how often the host list is read.
-	listEvery = 2 * time.Second
-	// retryEvery is how long to wait after a failed read.
-	retryEvery = 500 * time.Millisecond
-	// CheckpointEvery is how often a checkpoint of the configuration is appended; the log must keep records several times as long.
-	CheckpointEvery = 10 * time.Minute
-	inputBuffer     = 256
+	// refreshInterval is how often the view is checked for avoidances that have ended.
+	refreshInterval = 250 * time.Millisecond
+	// longPollTimeout is how long one read of the configuration stream waits for new records.
+	longPollTimeout = 30 * time.Second
+	// hostListInterval is how often the host list is read.
+	hostListInterval = 2 * time.Second
+	// retryInterval is the pause after a failed read.
+	retryInterval = 500 * time.Millisecond
+	// CheckpointInterval is how often a checkpoint of the configuration is appended to
+	// the stream; the log's retention must be several times as long.
+	CheckpointInterval = 10 * time.Minute
+	updateBufferSize   = 256
 )
 
-// A Journal is the platform's log service.
+// A Journal reads and appends records of the platform's log service.
 type Journal interface {
 	Append(ctx context.Context, stream string, records ...json.RawMessage) (int64, error)
 	Read(ctx context.Context, stream string, from int64, wait time.Duration) (journal.Batch, error)
 }
 
-// A HostList is the platform's list of hosts.
+// A HostList reads the platform's host list, if it has changed since the tag.
 type HostList interface {
 	Read(ctx context.Context, tag string) (list roster.List, newTag string, changed bool, err error)
 }
 
-// A Peers asks other entry hosts for their configuration.
+// A Peers fetches other entry hosts' configuration; the result is false if a host has no complete one.
 type Peers interface {
 	Checkpoint(ctx context.Context, from routing.EntryHost) (register.Checkpoint, bool, error)
 }
 
-// A Controller is the one goroutine that holds a host's control state.
+// A Controller maintains a host's routing state in one goroutine and publishes views of it.
 type Controller struct {
-	self    string
-	region  string
-	journal Journal
-	list    HostList
-	peers   Peers
-	listed  atomic.Int64
-	view    atomic.Pointer[routing.View]
-	folded  atomic.Pointer[register.Checkpoint]
-	ready   atomic.Bool
-	whole   atomic.Bool
-	inputs  chan func(*state)
-	onView  func(*routing.View)
-	cancel  context.CancelFunc
-	done    chan struct{}
+	self             string
+	region           string
+	journal          Journal
+	list             HostList
+	peers            Peers
+	listConfirmedAt  atomic.Int64
+	view             atomic.Pointer[routing.View]
+	latestCheckpoint atomic.Pointer[register.Checkpoint]
+	ready            atomic.Bool
+	complete         atomic.Bool
+	updates          chan func(*state)
+	onView           func(*routing.View)
+	cancel           context.CancelFunc
+	done             chan struct{}
 }
 
-// state is what only the control goroutine touches.
+// state is owned by the control goroutine.
 type state struct {
 	fold         *register.Fold
 	hosts        []roster.Host
-	evidence     *Evidence
+	outliers     *Evidence
 	avoided      map[string]bool
 	caughtUp     bool
 	checkpointAt time.Time
 }
 
-// Options are the parts that a controller is made of.
+// Options are the settings and dependencies of a Controller.
 type Options struct {
 	Self    string
 	Region  string
@@ -85,14 +86,14 @@
 	OnView func(*routing.View)
 }
 
-// NewController returns a controller that has started to read.
+// NewController starts a controller, which reads until Close.
 func NewController(o Options) *Controller {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Controller{
 		self: o.Self, region: o.Region, journal: o.Journal, list: o.List, peers: o.Peers, onView: o.OnView,
-		inputs: make(chan func(*state), inputBuffer), cancel: cancel, done: make(chan struct{}),
+		updates: make(chan func(*state), updateBufferSize), cancel: cancel, done: make(chan struct{}),
 	}
-	s := &state{fold: register.NewFold(), evidence: NewEvidence(), checkpointAt: time.Now()}
+	s := &state{fold: register.NewFold(), outliers: NewEvidence(), checkpointAt: time.Now()}
 	c.publish(s)
 	go func() {
 		defer close(c.done)
@@ -103,7 +104,7 @@
 	return c
 }
 
-// Close stops the controller; the last view stays.
+// Close stops the controller; the last view stays available.
 func (c *Controller) Close() {
 	c.cancel()
 	<-c.done
@@ -114,34 +115,34 @@
 	return c.view.Load()
 }
 
-// Folded returns the configuration's folded state, or false while it is not whole.
+// Folded returns the latest complete configuration as a checkpoint, or false if there is none yet.
 func (c *Controller) Folded() (register.Checkpoint, bool) {
-	p := c.folded.Load()
+	p := c.latestCheckpoint.Load()
 	if p == nil {
 		return register.Checkpoint{}, false
 	}
 	return *p, true
 }
 
-// ListAge returns how long ago the host list was last confirmed; before the first time it is the time since the epoch.
+// ListAge returns the time since the last successful read of the host list, or since the Unix epoch before the first.
 func (c *Controller) ListAge() time.Duration {
-	return time.Since(time.Unix(0, c.listed.Load()))
+	return time.Since(time.Unix(0, c.listConfirmedAt.Load()))
 }
 
-// Ready reports whether the host knows a configuration and the host list.
+// Ready reports whether the host has had a configuration and a host list.
 func (c *Controller) Ready() bool {
 	return c.ready.Load()
 }
 
-// Observe takes in evidence from traffic; it never blocks, and drops evidence while control is behind.
+// Observe records whether a call to a host succeeded. It never blocks; results are dropped while the update queue is full.
 func (c *Controller) Observe(name string, ok bool) {
-	x := Good
+	result := Good
 	if !ok {
-		x = Broken
+		result = Broken
 	}
 	select {
-	case c.inputs <- func(s *state) {
-		if s.evidence.Observe(time.Now(), name, x) {
+	case c.updates <- func(s *state) {
+		if s.outliers.Observe(time.Now(), name, result) {
 			c.refresh(s)
 		}
 	}:
@@ -150,32 +151,32 @@
 }
 
 func (c *Controller) run(ctx context.Context, s *state) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case input := <-c.inputs:
-			input(s)
+		case update := <-c.updates:
+			update(s)
 		case <-ticker.C:
 			c.refresh(s)
-			c.checkpoint(ctx, s)
+			c.appendCheckpointIfDue(ctx, s)
 		}
 	}
 }
 
-// tell hands an input to the control goroutine.
-func (c *Controller) tell(ctx context.Context, input func(*state)) {
+// enqueue sends an update to the control goroutine.
+func (c *Controller) enqueue(ctx context.Context, update func(*state)) {
 	select {
-	case c.inputs <- input:
+	case c.updates <- update:
 	case <-ctx.Done():
 	}
 }
 
-// refresh publishes a new view if what the evidence speaks against has changed.
+// refresh publishes a new view if the set of avoided hosts has changed.
 func (c *Controller) refresh(s *state) {
-	avoided := c.avoid(s)
+	avoided := c.avoidedHosts(s)
 	if len(avoided) == len(s.avoided) {
 		same := true
 		for name := range avoided {
@@ -188,9 +189,9 @@
 	c.publish(s)
 }
 
-// avoid returns the hosts that evidence speaks against, judged group by group:
-// the entry hosts, and the upstreams of each model.
-func (c *Controller) avoid(s *state) map[string]bool {
+// avoidedHosts returns the hosts to avoid, decided group by group: the entry hosts, and
+// the upstreams of each model.
+func (c *Controller) avoidedHosts(s *state) map[string]bool {
 	groups := map[string][]string{}
 	for _, h := range s.hosts {
 		if h.Role == roster.EntryHost {
@@ -200,33 +201,33 @@
 			groups["model "+m] = append(groups["model "+m], h.Name)
 		}
 	}
-	avoid := map[string]bool{}
+	avoided := map[string]bool{}
 	for _, group := range groups {
-		for name := range s.evidence.Avoid(time.Now(), group) {
-			avoid[name] = true
+		for name := range s.outliers.Avoid(time.Now(), group) {
+			avoided[name] = true
 		}
 	}
-	return avoid
+	return avoided
 }
 
 func (c *Controller) publish(s *state) {
-	s.avoided = c.avoid(s)
+	s.avoided = c.avoidedHosts(s)
 	current := s.fold.State()
-	v := routing.NewView(routing.ViewInput{
+	view := routing.NewView(routing.ViewInput{
 		Self: c.self, Region: c.region, Revision: current.Revision, Document: current.Document,
 		Hosts: s.hosts,
-		// A host never speaks against itself: it would own nothing.
+		// A host never avoids itself, or it would own no upstream.
 		Avoid: func(name string) bool { return name != c.self && s.avoided[name] },
 	})
-	c.view.Store(v)
+	c.view.Store(view)
 	if cp, ok := s.fold.Checkpoint(); ok {
-		c.folded.Store(&cp)
+		c.latestCheckpoint.Store(&cp)
 	}
-	c.whole.Store(s.fold.Whole())
-	// A host that was ready stays so: it goes on with the configuration it has.
+	c.complete.Store(s.fold.Whole())
+	// A host that was ready stays ready with the configuration it has.
 	c.ready.Store(c.ready.Load() || (s.caughtUp && s.hosts != nil))
 	if c.onView != nil {
-		c.onView(v)
+		c.onView(view)
 	}
 }
 
@@ -238,79 +239,79 @@
 		case ctx.Err() != nil:
 			return
 		case err != nil:
-			logrus.WithError(err).Warn("control: The host list cannot be read. The last one stays in use.")
+			logrus.WithError(err).Warn("control: Reading the host list failed. The last one stays in use.")
 		case changed && len(list.Hosts) == 0:
-			// An empty list is a fault of the platform: obeying it would drop all traffic.
+			// An empty list is a platform fault; applying it would drop all traffic.
 			logrus.Warn("control: The host list is empty. The last one stays in use.")
 		default:
 			tag = newTag
-			c.listed.Store(time.Now().UnixNano())
+			c.listConfirmedAt.Store(time.Now().UnixNano())
 			if changed {
-				c.tell(ctx, func(s *state) { c.takeHosts(s, list) })
+				c.enqueue(ctx, func(s *state) { c.applyHostList(s, list) })
 			}
 		}
-		pause.For(ctx, listEvery)
+		pause.For(ctx, hostListInterval)
 	}
 }
 
-func (c *Controller) takeHosts(s *state, list roster.List) {
+func (c *Controller) applyHostList(s *state, list roster.List) {
 	s.hosts = list.Hosts
 	listed := map[string]bool{}
 	for _, h := range list.Hosts {
 		listed[h.Name] = true
 	}
-	s.evidence.Forget(listed)
+	s.outliers.Forget(listed)
 	c.publish(s)
 }
 
 func (c *Controller) readConfiguration(ctx context.Context) {
 	from := int64(0)
 	for ctx.Err() == nil {
-		batch, err := c.journal.Read(ctx, register.Stream, from, c.wait())
+		batch, err := c.journal.Read(ctx, register.Stream, from, c.readTimeout())
 		var trimmed *journal.TrimmedError
 		switch {
 		case errors.As(err, &trimmed):
 			from = trimmed.Earliest
-			c.tell(ctx, func(s *state) {
+			c.enqueue(ctx, func(s *state) {
 				s.fold.Trimmed(trimmed.Earliest)
 				c.publish(s)
 			})
 			if c.ready.Load() {
-				// A host that was cut off or paused for longer than the log keeps
-				// records would else wait for the next checkpoint.
-				c.askPeers(ctx)
+				// A host that was disconnected or paused for longer than the log's
+				// retention would otherwise wait for the next checkpoint.
+				c.fetchFromPeers(ctx)
 			}
 		case ctx.Err() != nil:
 			return
 		case err != nil:
-			logrus.WithError(err).Warn("control: The configuration stream cannot be read. The last configuration stays in force.")
+			logrus.WithError(err).Warn("control: Reading the configuration stream failed. The last configuration stays in use.")
 			if !c.ready.Load() {
-				c.askPeers(ctx)
+				c.fetchFromPeers(ctx)
 			}
-			pause.For(ctx, retryEvery)
+			pause.For(ctx, retryInterval)
 		default:
 			from = batch.Next
-			c.tell(ctx, func(s *state) { c.takeRecords(s, batch) })
+			c.enqueue(ctx, func(s *state) { c.applyRecords(s, batch) })
 			if len(batch.Records) == 0 && !c.ready.Load() {
-				c.askUnlessWhole(ctx)
-				pause.For(ctx, retryEvery)
+				c.fetchFromPeersIfIncomplete(ctx)
+				pause.For(ctx, retryInterval)
 			}
 		}
 	}
 }
 
-// wait returns how long to wait for records: not at all until the stream has once been read to its end.
-func (c *Controller) wait() time.Duration {
+// readTimeout returns how long a read waits for records: zero until the stream has been read to its end once.
+func (c *Controller) readTimeout() time.Duration {
 	if !c.ready.Load() {
 		return 0
 	}
-	return pollWait
+	return longPollTimeout
 }
 
-func (c *Controller) takeRecords(s *state, batch journal.Batch) {
+func (c *Controller) applyRecords(s *state, batch journal.Batch) {
 	for _, r := range batch.Records {
 		if err := s.fold.Add(r); err != nil {
-			logrus.WithError(err).Error("control: A configuration record was skipped.")
+			logrus.WithError(err).Error("control: Skipped an invalid configuration record.")
 		}
 		if rec, err := register.DecodeRecord(r.Data); err == nil && rec.Kind == register.CheckpointRecord {
 			s.checkpointAt = time.Now()
@@ -324,16 +325,16 @@
 	}
 }
 
-// askUnlessWhole asks the peers while the stream alone does not give the configuration:
-// its beginning was trimmed and no checkpoint is in what is left.
-func (c *Controller) askUnlessWhole(ctx context.Context) {
-	if !c.whole.Load() {
-		c.askPeers(ctx)
+// fetchFromPeersIfIncomplete fetches the configuration from a peer if the stream does not
+// give it: its beginning was trimmed and the rest holds no checkpoint.
+func (c *Controller) fetchFromPeersIfIncomplete(ctx context.Context) {
+	if !c.complete.Load() {
+		c.fetchFromPeers(ctx)
 	}
 }
 
-// askPeers takes the configuration from another entry host, which only ever moves this one forward.
-func (c *Controller) askPeers(ctx context.Context) {
+// fetchFromPeers installs the configuration of the first entry host that has one, if it is newer.
+func (c *Controller) fetchFromPeers(ctx context.Context) {
 	view := c.View()
 	for _, host := range view.Hosts() {
 		if host.Name() == c.self {
@@ -343,9 +344,9 @@
 		if err != nil || !ok {
 			continue
 		}
-		c.tell(ctx, func(s *state) {
+		c.enqueue(ctx, func(s *state) {
 			if s.fold.Install(cp) {
-				logrus.WithField("revision", cp.State.Revision).Infof("control: The configuration was taken from host %s.", host.Name())
+				logrus.WithField("revision", cp.State.Revision).Infof("control: Fetched the configuration from host %s.", host.Name())
 			}
 			s.caughtUp = s.caughtUp || s.fold.Whole()
 			c.publish(s)
@@ -354,33 +355,33 @@
 	}
 }
 
-// checkpointKey is what the host that writes checkpoints owns.
-const checkpointKey = 0x636865636b
+// checkpointOwnerKey is the ownership key that selects the host that writes checkpoints.
+const checkpointOwnerKey = 0x636865636b
 
-// checkpoint appends a checkpoint when one is due. Its owner goes first; if that
-// host fails to, any other does so an interval later. Doubled ones are harmless:
-// both say the same of the same offset.
-func (c *Controller) checkpoint(ctx context.Context, s *state) {
-	cp, whole := s.fold.Checkpoint()
-	if !whole || cp.State.Revision == 0 {
+// appendCheckpointIfDue appends a checkpoint when one is due. Normally the owner of
+// checkpointOwnerKey does; if it fails to, any other host does an interval later.
+// Duplicates are harmless, as they hold the same state at the same offset.
+func (c *Controller) appendCheckpointIfDue(ctx context.Context, s *state) {
+	cp, complete := s.fold.Checkpoint()
+	if !complete || cp.State.Revision == 0 {
 		return
 	}
-	due := 2 * CheckpointEvery
-	if owner, ok := c.View().Owner(checkpointKey); ok && owner.Name() == c.self {
-		due = CheckpointEvery
+	interval := 2 * CheckpointInterval
+	if owner, ok := c.View().Owner(checkpointOwnerKey); ok && owner.Name() == c.self {
+		interval = CheckpointInterval
 	}
-	if time.Since(s.checkpointAt) < due {
+	if time.Since(s.checkpointAt) < interval {
 		return
 	}
 	s.checkpointAt = time.Now()
 	data, err := register.Record{Kind: register.CheckpointRecord, Checkpoint: &cp}.Encode()
 	if err != nil {
-		logrus.WithError(err).Error("control: The checkpoint cannot be written.")
+		logrus.WithError(err).Error("control: Encoding the checkpoint failed.")
 		return
 	}
 	go func() {
 		if _, err := c.journal.Append(ctx, register.Stream, data); err != nil {
-			logrus.WithError(err).Warn("control: The checkpoint was not appended.")
+			logrus.WithError(err).Warn("control: Appending the checkpoint failed.")
 		}
 	}()
 }
--- /dev/null
+++ b/jackdawd/internal/control/outlier_test.go
@@ -0,0 +1,166 @@
+package control
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+var (
+	baseTime = time.Unix(1_800_000_000, 0)
+	group    = []string{"engine-1", "engine-2", "engine-3", "engine-4"}
+)
+
+func observeFailures(e *Evidence, now time.Time, name string, times int) {
+	for range times {
+		e.Observe(now, name, Broken)
+	}
+}
+
+// Two lost connections do not avoid a host; three in a row do, for a second.
+func TestThreeFailuresAvoidHost(t *testing.T) {
+	e := NewEvidence()
+	observeFailures(e, baseTime, "engine-1", avoidThreshold-1)
+	require.Empty(t, e.Avoid(baseTime, group))
+	observeFailures(e, baseTime, "engine-1", 1)
+	require.Equal(t, map[string]bool{"engine-1": true}, e.Avoid(baseTime, group))
+	require.Empty(t, e.Avoid(baseTime.Add(minAvoidance), group))
+}
+
+// A flapping engine fails again after each return. The avoidance doubles each time up to
+// the maximum, so that its chats do not keep moving back and forth.
+func TestFlappingHostIsAvoidedLonger(t *testing.T) {
+	e := NewEvidence()
+	observeFailures(e, baseTime, "engine-1", avoidThreshold)
+	now := baseTime
+	for _, want := range []time.Duration{2, 4, 8, 16, 30, 30} {
+		now = now.Add(time.Minute)
+		e.Observe(now, "engine-1", Good)
+		require.True(t, e.Observe(now, "engine-1", Broken))
+		require.NotEmpty(t, e.Avoid(now.Add(want*time.Second-1), group))
+		require.Empty(t, e.Avoid(now.Add(want*time.Second), group))
+	}
+}
+
+// This host's own network fails and every engine seems down. None is avoided, or no
+// upstream would be left.
+func TestOwnNetworkFault(t *testing.T) {
+	e := NewEvidence()
+	for _, name := range group {
+		observeFailures(e, baseTime, name, avoidThreshold)
+	}
+	require.Empty(t, e.Avoid(baseTime, group))
+}
+
+// Most engines stop answering at once while the rest still answer. All of the lost ones
+// must be avoided, not just a third, or requests sent to them meanwhile would be lost.
+func TestMostEnginesLost(t *testing.T) {
+	e := NewEvidence()
+	for _, name := range group[:3] {
+		e.Observe(baseTime, name, Good)
+		observeFailures(e, baseTime, name, avoidThreshold)
+	}
+	require.Empty(t, e.Avoid(baseTime, group), "without a success elsewhere, the fault may be this host's own network")
+	e.Observe(baseTime, "engine-4", Good)
+	require.Equal(t, map[string]bool{"engine-1": true, "engine-2": true, "engine-3": true}, e.Avoid(baseTime, group))
+	require.Empty(t, e.Avoid(baseTime.Add(successWindow), group))
+}
+
+// Half of the engines send error responses. They are up, and avoiding more than a third
+// of the group would put their load on the rest.
+func TestErrorResponsesAvoidAtMostAThird(t *testing.T) {
+	e := NewEvidence()
+	for _, name := range group[:2] {
+		for range 5 {
+			e.Observe(baseTime, name, Failed)
+		}
+	}
+	e.Observe(baseTime, "engine-4", Good)
+	require.Empty(t, e.Avoid(baseTime, group))
+}
+
+func TestSuccessesResetScore(t *testing.T) {
+	e := NewEvidence()
+	observeFailures(e, baseTime, "engine-1", avoidThreshold)
+	for range successesToReset {
+		e.Observe(baseTime, "engine-1", Good)
+	}
+	observeFailures(e, baseTime, "engine-1", avoidThreshold-1)
+	require.Empty(t, e.Avoid(baseTime, group))
+}
+
+// An engine stops answering. Hosts with little traffic would each need three failures;
+// with peers' scores, one of their own is enough. A host that had recent successes or no
+// failure at all must not avoid the engine because of peer scores.
+func TestPeerScoresLowerThreshold(t *testing.T) {
+	for name, test := range map[string]struct {
+		peerScore           float64
+		successes, failures int
+		avoided             bool
+	}{
+		"no peer scores":                 {0, 0, 1, false},
+		"high peer scores":               {5, 0, 1, true},
+		"one peer's score":               {2.5, 0, 1, false},
+		"failures at peers only":         {100, 0, 0, false},
+		"successes outweigh peer scores": {100, 10, 2, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			e := NewEvidence()
+			e.Observe(baseTime, "engine-1", Failed)
+			for range 6 {
+				e.Observe(baseTime, "engine-1", Good)
+			}
+			for range test.successes {
+				e.Observe(baseTime, "engine-1", Good)
+			}
+			if test.successes == 0 {
+				e = NewEvidence()
+			}
+			e.Told(map[string]float64{"engine-1": test.peerScore})
+			observeFailures(e, baseTime, "engine-1", test.failures)
+			require.Equal(t, test.avoided, len(e.Avoid(baseTime, group)) > 0)
+		})
+	}
+}
+
+func TestScoresReportRecentFailures(t *testing.T) {
+	e := NewEvidence()
+	observeFailures(e, baseTime, "engine-1", 2)
+	e.Observe(baseTime, "engine-2", Failed)
+	require.Equal(t, map[string]float64{"engine-1": 2}, e.Scores(baseTime))
+	require.Empty(t, e.Scores(baseTime.Add(reportWindow)))
+}
+
+// An engine fails some of its requests, so that three failures in a row are rare. It is
+// avoided nevertheless, while the small share of requests that fail on any engine must
+// not make an engine avoided.
+func TestPartlyFailingIsAvoided(t *testing.T) {
+	for name, test := range map[string]struct {
+		result Experience
+		// failuresInTen says how many of ten requests fail.
+		failuresInTen int
+		avoided       bool
+	}{
+		"six in ten connections break":  {Broken, 6, true},
+		"six in ten responses fail":     {Failed, 6, true},
+		"four in ten connections break": {Broken, 4, true},
+		"one in ten responses fails":    {Failed, 1, false},
+		"two in ten responses fail":     {Failed, 2, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			e, avoided := NewEvidence(), 0
+			for i := range 1000 {
+				// Seven and ten are coprime, so failures are spread evenly.
+				result := Good
+				if i*7%10 < test.failuresInTen {
+					result = test.result
+				}
+				now := baseTime.Add(time.Duration(i) * 200 * time.Millisecond)
+				e.Observe(now, "engine-1", result)
+				avoided += len(e.Avoid(now, group))
+			}
+			require.Equal(t, test.avoided, avoided > 0, "%d", avoided)
+		})
+	}
+}
