--- a/jackdawd/internal/dispatch/owner.go
+++ b/jackdawd/internal/dispatch/owner.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// loadCounter counts one upstream's load in the owner's balancer; it implements queue.Counter.
+// loadCounter counts one upstream's load in the owner's balancer; it implements queue.LoadCounter.
 type loadCounter struct {
 	owner    *Owner
 	model    string
--- a/jackdawd/internal/queue/lengths.go
+++ b/jackdawd/internal/queue/lengths.go
@@ -6,59 +6,60 @@
 )
 
 const (
-	// lengthSamples is how many answers of a class the estimate rests on.
-	lengthSamples = 256
-	// firstEstimate is the output length expected of a class without answers so far.
-	firstEstimate = 128
-	reEstimate    = 16
+	// maxLengthSamples is how many of a class's latest responses the estimate is based on.
+	maxLengthSamples = 256
+	// defaultEstimate is the expected output length, in tokens, of a class without responses yet.
+	defaultEstimate = 128
+	// reestimateInterval is the number of new responses after which the estimate is updated.
+	reestimateInterval = 16
 )
 
-// Lengths estimates the output length of each class from its latest answers.
+// Lengths estimates the output length of each class, in tokens, from its latest responses.
 type Lengths struct {
 	mu       sync.Mutex
 	quantile float64
-	classes  map[string]*lengths
+	classes  map[string]*classLengths
 }
 
-type lengths struct {
-	samples  []int
-	at       int
-	sinceEst int
-	estimate int64
+type classLengths struct {
+	samples    []int
+	next       int
+	newSamples int
+	estimate   int64
 }
 
-// NewLengths returns an estimator of a quantile of the output length, or of the mean if it is 0.
+// NewLengths returns an estimator of the given quantile of the output length, or of the mean if quantile is 0.
 func NewLengths(quantile float64) *Lengths {
-	return &Lengths{quantile: quantile, classes: map[string]*lengths{}}
+	return &Lengths{quantile: quantile, classes: map[string]*classLengths{}}
 }
 
-// Observe takes in the output length of an answer.
+// Observe records the output length of a response, in tokens.
 func (e *Lengths) Observe(class string, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l, ok := e.classes[class]
 	if !ok {
-		l = &lengths{}
+		l = &classLengths{}
 		e.classes[class] = l
 	}
-	if len(l.samples) < lengthSamples {
+	if len(l.samples) < maxLengthSamples {
 		l.samples = append(l.samples, tokens)
 	} else {
-		l.samples[l.at] = tokens
-		l.at = (l.at + 1) % lengthSamples
+		l.samples[l.next] = tokens
+		l.next = (l.next + 1) % maxLengthSamples
 	}
-	l.sinceEst++
-	if l.sinceEst >= reEstimate || l.estimate == 0 {
-		l.estimate = e.compute(l.samples)
-		l.sinceEst = 0
+	l.newSamples++
+	if l.newSamples >= reestimateInterval || l.estimate == 0 {
+		l.estimate = e.computeEstimate(l.samples)
+		l.newSamples = 0
 	}
 }
 
-// Expect returns the tokens that an answer of a class is expected to take, at most limit if that is over 0.
+// Expect returns the expected output length of a class, in tokens, capped at limit if that is positive.
 func (e *Lengths) Expect(class string, limit int) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := int64(firstEstimate)
+	n := int64(defaultEstimate)
 	if l, ok := e.classes[class]; ok {
 		n = l.estimate
 	}
@@ -68,7 +69,7 @@
 	return n
 }
 
-func (e *Lengths) compute(samples []int) int64 {
+func (e *Lengths) computeEstimate(samples []int) int64 {
 	if e.quantile == 0 {
 		sum := 0
 		for _, n := range samples {
--- a/jackdawd/internal/queue/limit.go
+++ b/jackdawd/internal/queue/limit.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// adjustEvery is how often a limit may change.
-	adjustEvery = 500 * time.Millisecond
-	// tokenGapTarget is the time between tokens that 95 in 100 must keep.
+	// adjustInterval is the minimum time between two changes of a limit.
+	adjustInterval = 500 * time.Millisecond
+	// tokenGapTarget is the target time between two tokens; at most maxLateRatio of the gaps may exceed it.
 	tokenGapTarget = 35 * time.Millisecond
-	lateShare      = 0.05
-	decrease       = 0.93
-	increase       = 1.03
+	maxLateRatio   = 0.05
+	decreaseFactor = 0.93
+	increaseFactor = 1.03
 	minSamples     = 20
-	// minLimitShare is the part of an upstream's capacity that a limit never falls below.
-	minLimitShare = 32
+	// minLimitDivisor sets the minimum of a limit: capacity/minLimitDivisor.
+	minLimitDivisor = 32
 )
 
-// A Limit is how many tokens an upstream is given at once. It falls while the
-// upstream shows that it is late with tokens and rises while it is not.
+// A Limit is an adaptive limit of an upstream's tokens in progress. It decreases while
+// too many gaps between tokens exceed the target, and increases otherwise.
 type Limit struct {
-	mu       sync.Mutex
-	tokens   int64
-	capacity int64
-	total    int
-	late     int
-	adjusted time.Time
+	mu         sync.Mutex
+	tokens     int64
+	capacity   int64
+	gaps       int
+	lateGaps   int
+	adjustedAt time.Time
 }
 
-// NewLimit returns a limit that starts at the upstream's capacity.
+// NewLimit returns a limit that starts at the upstream's capacity, in tokens.
 func NewLimit(capacity int64) *Limit {
 	return &Limit{tokens: capacity, capacity: capacity}
 }
@@ -41,26 +41,26 @@
 	return l.tokens
 }
 
-// Capacity returns the most that the limit can be.
+// Capacity returns the maximum of the limit, in tokens.
 func (l *Limit) Capacity() int64 {
 	return l.capacity
 }
 
-// Observe takes in the time between two tokens of an answer.
+// Observe records the gap between two tokens of a response, and adjusts the limit when due.
 func (l *Limit) Observe(now time.Time, gap time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.total++
+	l.gaps++
 	if gap > tokenGapTarget {
-		l.late++
+		l.lateGaps++
 	}
-	if now.Sub(l.adjusted) < adjustEvery || l.total < minSamples {
+	if now.Sub(l.adjustedAt) < adjustInterval || l.gaps < minSamples {
 		return
 	}
-	factor := increase
-	if float64(l.late) > lateShare*float64(l.total) {
-		factor = decrease
+	factor := increaseFactor
+	if float64(l.lateGaps) > maxLateRatio*float64(l.gaps) {
+		factor = decreaseFactor
 	}
-	l.tokens = min(l.capacity, max(l.capacity/minLimitShare, int64(float64(l.tokens)*factor)))
-	l.total, l.late, l.adjusted = 0, 0, now
+	l.tokens = min(l.capacity, max(l.capacity/minLimitDivisor, int64(float64(l.tokens)*factor)))
+	l.gaps, l.lateGaps, l.adjustedAt = 0, 0, now
 }
--- a/jackdawd/internal/queue/queue.go
+++ b/jackdawd/internal/queue/queue.go
@@ -6,69 +6,69 @@
 	"time"
 )
 
-// A Queue is a line that goroutines wait in.
+// A Queue lets goroutines wait for admission to one upstream.
 type Queue struct {
-	mu   sync.Mutex
-	line *Line
+	mu        sync.Mutex
+	scheduler *Line
 }
 
-// New returns an empty queue before the upstream that the counter counts.
-func New(limit *Limit, counter Counter) *Queue {
-	return &Queue{line: NewLine(limit, counter, func(w *Waiter) { close(w.ready) })}
+// New returns an empty queue for the counter's upstream.
+func New(limit *Limit, counter LoadCounter) *Queue {
+	return &Queue{scheduler: NewLine(limit, counter, func(w *Waiter) { close(w.ready) })}
 }
 
-// Acquire waits for room for the ticket and returns a function that gives the
-// room back; an error means that the request has not been passed on.
+// Acquire waits for room for the ticket and returns a function that frees it. On an
+// error, ErrTooLate, ErrFull, a *LateError or the context's, the request was not admitted.
 func (q *Queue) Acquire(ctx context.Context, t Ticket) (release func(), err error) {
-	w, err := q.enter(t)
+	w, err := q.enqueue(t)
 	if err != nil {
 		return nil, err
 	}
-	late := time.NewTimer(time.Until(t.BeginBy))
-	defer late.Stop()
+	deadline := time.NewTimer(time.Until(t.BeginBy))
+	defer deadline.Stop()
 	select {
 	case <-w.ready:
 		return func() { q.release(t) }, nil
-	case <-late.C:
+	case <-deadline.C:
 		err = ErrTooLate
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	if !q.leave(w) {
-		// It was passed on at the same moment; give the room back.
+	if !q.remove(w) {
+		// It was admitted at the same moment; free the room.
 		q.release(t)
 	}
 	return nil, err
 }
 
-// Waiting returns how many requests wait and their tokens.
+// Waiting returns the number of waiting requests and their tokens.
 func (q *Queue) Waiting() (requests int, tokens int64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.line.Waiting()
+	return q.scheduler.Waiting()
 }
 
-// Wake passes on what has come to fit, after the mean load or the limit has changed.
+// Wake admits requests that fit after a change of the mean load or the limit.
 func (q *Queue) Wake() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.line.PassOn()
+	q.scheduler.PassOn()
 }
 
-func (q *Queue) enter(t Ticket) (*Waiter, error) {
+func (q *Queue) enqueue(t Ticket) (*Waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.line.Enter(time.Now(), t)
+	return q.scheduler.Enter(time.Now(), t)
 }
 
-func (q *Queue) leave(w *Waiter) bool {
+func (q *Queue) remove(w *Waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.line.Leave(w)
+	return q.scheduler.Leave(w)
 }
 
 func (q *Queue) release(t Ticket) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.line.Release(time.Now(), t)
+	q.scheduler.Release(time.Now(), t)
 }
