--- a/jackdawd/internal/control/outlier.go
+++ b/jackdawd/internal/control/outlier.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// An Experience is the result of one request to another host or upstream.
+// Experience is the result of one request to another host or upstream.
 type Experience string
 
 // The results.
--- a/jackdawd/internal/routing/doc.go
+++ b/jackdawd/internal/routing/doc.go
@@ -1,8 +1,10 @@
-// Package routing decides which upstream a request goes to and which entry
-// host, its owner, counts that upstream's load.
+// Package routing decides which upstream a request goes to, and which entry host is the
+// owner of an upstream: the one that counts its load. Both use rendezvous hashing, and
+// the choice of the upstream is bounded by load.
 //
-// A View is immutable: it is made from the configuration and the host list, and
-// the same list gives the same first choice and the same owner on every host. A
-// Board holds what changes between two views: the loads that this host counts,
-// those that other owners told it of, and the chats that were moved.
+// A View is an immutable snapshot, made by package control from the configuration and
+// the host list; the same list gives the same first choice and owner on every host. The
+// balancer holds the state that changes between views: the loads that this host counts,
+// the rows with loads that other owners sent, and the upstreams that chats were moved
+// to. Package dispatch calls it for each request, and node exchanges its rows.
 package routing
