--- a/jackdawd/internal/control/controller.go
+++ b/jackdawd/internal/control/controller.go
@@ -42,7 +42,8 @@
 	Read(ctx context.Context, tag string) (list roster.List, newTag string, changed bool, err error)
 }
 
-// A Peers fetches other entry hosts' configuration; the result is false if a host has no complete one.
+// A Peers fetches other entry hosts' configuration; the result is false if a host has no
+// complete one.
 type Peers interface {
 	Checkpoint(ctx context.Context, from routing.EntryHost) (register.Checkpoint, bool, error)
 }
@@ -124,7 +125,8 @@
 	return *p, true
 }
 
-// ListAge returns the time since the last successful read of the host list, or since the Unix epoch before the first.
+// ListAge returns the time since the last successful read of the host list, or since the
+// Unix epoch before the first.
 func (c *Controller) ListAge() time.Duration {
 	return time.Since(time.Unix(0, c.listConfirmedAt.Load()))
 }
@@ -134,7 +136,8 @@
 	return c.ready.Load()
 }
 
-// Observe records whether a call to a host succeeded. It never blocks; results are dropped while the update queue is full.
+// Observe records whether a call to a host succeeded. It never blocks; results are dropped
+// while the update queue is full.
 func (c *Controller) Observe(name string, ok bool) {
 	result := Good
 	if !ok {
@@ -300,7 +303,8 @@
 	}
 }
 
-// readTimeout returns how long a read waits for records: zero until the stream has been read to its end once.
+// readTimeout returns how long a read waits for records: zero until the stream has been
+// read to its end once.
 func (c *Controller) readTimeout() time.Duration {
 	if !c.ready.Load() {
 		return 0
--- a/jackdawd/internal/control/outlier.go
+++ b/jackdawd/internal/control/outlier.go
@@ -33,8 +33,9 @@
 	scoreAfterAvoidance = avoidThreshold - successCredit
 	// successesToReset is how many successes in a row clear a host's record.
 	successesToReset = 20
-	minAvoidance     = time.Second
-	maxAvoidance     = 30 * time.Second
+	// An avoidance lasts minAvoidance at first and doubles each time, up to maxAvoidance.
+	minAvoidance = time.Second
+	maxAvoidance = 30 * time.Second
 	// maxCredit is how far successes can take the score below zero, so that a host that
 	// answers here needs more failures before peer scores make it avoided.
 	maxCredit = 2
@@ -43,7 +44,8 @@
 	// otherwise peers with a failing network could make all hosts avoid an upstream.
 	peerScoreFactor = 0.5
 	maxPeerScore    = scoreAfterAvoidance
-	// minReportedScore is the score from which peers are told; reportWindow is how long after the last failure.
+	// minReportedScore is the score from which peers are told; reportWindow is how long
+	// after the last failure.
 	minReportedScore = 1
 	reportWindow     = 3 * time.Second
 	// maxAvoidedDivisor limits the avoided hosts of a group to 1 in 3, not counting those
@@ -157,10 +159,10 @@
 		lastSuccess, known := d.lastSuccess[name]
 		networkUp = networkUp || (!avoided[name] && known && now.Sub(lastSuccess) < successWindow)
 	}
-	// When this host's own network fails, all others seem down; avoiding them all would
-	// leave no upstream. While some answer, the network works and the others are down.
-	// Without this check, with six engines in ten lost, six requests in ten were sent to
-	// them until their list entries lapsed.
+	// When this host's own network fails, all others seem down, and avoiding them all would
+	// leave no upstream. While some answer, the network works and the others are down: when
+	// the limit of a third applied then too, with six engines in ten lost, six requests in
+	// ten were sent to them until their list entries lapsed.
 	if !networkUp && len(avoided)*maxAvoidedDivisor > len(group) {
 		avoided = map[string]bool{}
 	}
--- a/jackdawd/internal/dispatch/deliver.go
+++ b/jackdawd/internal/dispatch/deliver.go
@@ -94,7 +94,8 @@
 	return o.resume(ctx, u, progress, sink, delivery.ErrBroken)
 }
 
-// resume retries a response that broke off with err until it is complete or the attempts are used up.
+// resume retries a response that broke off with err until it is complete or the attempts
+// are used up.
 func (o *Owner) resume(ctx context.Context, u *routing.Upstream, progress *delivery.Progress, sink delivery.Sink, err error) error {
 	for attempt := 0; err != nil; attempt++ {
 		if ctx.Err() != nil || errors.Is(err, delivery.ErrSink) {
--- a/jackdawd/internal/dispatch/fleet_test.go
+++ b/jackdawd/internal/dispatch/fleet_test.go
@@ -57,7 +57,8 @@
 	failures failureRecorder
 }
 
-// newFleet returns a fleet whose engines send one word every 3 ms; handlers override engines by name.
+// newFleet returns a fleet whose engines send one word every 3 ms; handlers override
+// engines by name.
 func newFleet(hosts, engines int, handlers map[string]http.Handler) *fleet {
 	f := &fleet{
 		net: network.New(), views: map[string]*routing.View{}, routers: map[string]*Router{},
@@ -119,7 +120,8 @@
 	for name := range f.engines {
 		f.net.Kill(name + ":1")
 	}
-	// Engines keep finished responses for a while; their timers must end inside the synctest bubble.
+	// Engines keep finished responses for a while; their timers must end inside the
+	// synctest bubble.
 	time.Sleep(time.Minute)
 }
 
@@ -148,7 +150,8 @@
 	}
 }
 
-// itemWithFirstChoice returns an item of the next chat after the given one with that first-choice engine.
+// itemWithFirstChoice returns an item of the next chat after the given one with that
+// first-choice engine.
 func (f *fleet) itemWithFirstChoice(name string, after uint64) *work.Item {
 	for chat := after + 1; ; chat++ {
 		if firstChoice, _ := f.firstChoice(newItem(chat, 5)); firstChoice == name {
@@ -157,7 +160,8 @@
 	}
 }
 
-// moveChat makes the owner of the item's first choice move its chat to another engine, and returns that engine.
+// moveChat makes the owner of the item's first choice move its chat to another engine, and
+// returns that engine.
 func (f *fleet) moveChat(t *testing.T, item *work.Item) *routing.Upstream {
 	t.Helper()
 	firstChoice, owner := f.firstChoice(item)
--- a/jackdawd/internal/dispatch/owner.go
+++ b/jackdawd/internal/dispatch/owner.go
@@ -105,7 +105,8 @@
 	return requests, tokens, q.limit.Tokens()
 }
 
-// A Move redirects an item to the upstream To, if set; SourceLoad is the load of the one it is moved from.
+// A Move redirects an item to the upstream To, if set; SourceLoad is the load of the one it
+// is moved from.
 type Move struct {
 	To         string     `json:"to"`
 	SourceLoad *peers.Row `json:"seen,omitempty"`
@@ -176,7 +177,8 @@
 	return Move{To: to.Name(), SourceLoad: &load}
 }
 
-// acquire waits for room in the queue; with placement Linger it waits only part of the remaining time.
+// acquire waits for room in the queue; with placement Linger it waits only part of the
+// remaining time.
 func (o *Owner) acquire(ctx context.Context, q *upstreamQueue, ticket queue.Ticket, placement routing.Placement) (release func(), err error) {
 	if placement == routing.Linger {
 		ticket.BeginBy = ticket.LingerUntil(time.Now())
@@ -194,7 +196,8 @@
 	return ok
 }
 
-// moveToFirstChoice moves a chat to its first choice in this host's list, for a sender with another list.
+// moveToFirstChoice moves a chat to its first choice in this host's list, for a sender with
+// another list.
 func moveToFirstChoice(pool *routing.Pool, chat uint64) (Move, error) {
 	ranked := pool.Rank(chat)
 	if len(ranked) == 0 {
--- a/jackdawd/internal/dispatch/router.go
+++ b/jackdawd/internal/dispatch/router.go
@@ -24,7 +24,7 @@
 
 // A Peer forwards an item to another entry host, the owner of the named upstream.
 type Peer interface {
-	Serve(ctx context.Context, to routing.EntryHost, item *work.Item, name string, attempt int, sink delivery.Sink) (Move, error)
+	Serve(ctx context.Context, host routing.EntryHost, item *work.Item, upstreamName string, attempt int, sink delivery.Sink) (Move, error)
 }
 
 // A Meter counts retries.
@@ -44,7 +44,8 @@
 	tracer      trace.Tracer
 }
 
-// NewRouter returns a router; owner serves the upstreams that this host owns, peer reaches the others.
+// NewRouter returns a router; owner serves the upstreams that this host owns, peer reaches
+// the others.
 func NewRouter(currentView func() *routing.View, owner *Owner, peer Peer, client *delivery.Client, observer Observer, meter Meter) *Router {
 	return &Router{
 		currentView: currentView, owner: owner, peer: peer, budget: NewBudget(), client: client, observer: observer, meter: meter,
@@ -106,7 +107,8 @@
 	return &uncertain
 }
 
-// selectUpstream sets upstreamName to the chat's best candidate that has not failed, and reports whether there is one.
+// selectUpstream sets upstreamName to the chat's best candidate that has not failed, and
+// reports whether there is one.
 func (rt *route) selectUpstream() bool {
 	candidates := append(rt.pool.Rank(rt.item.Chat), rt.pool.Upstreams()...)
 	for _, u := range candidates {
@@ -171,7 +173,8 @@
 	item.BeginWithin = time.Until(rt.beginDeadline)
 	u, ok := rt.pool.Find(rt.upstreamName)
 	if !ok {
-		// One host's list is newer; if it is this one, Gone tells the owner that the upstream has left.
+		// One host's list is newer; if it is this one, Gone tells the owner that the
+		// upstream has left.
 		rt.visited = append(rt.visited, peers.Row{Upstream: routing.HashOf(rt.upstreamName), Gone: true})
 		u, ok = rt.refreshUpstream()
 	}
@@ -234,7 +237,8 @@
 	return nil
 }
 
-// handleFailure decides whether and where a failed item is retried; finalErr is the error to return if it is not.
+// handleFailure decides whether and where a failed item is retried; finalErr is the error
+// to return if it is not.
 func (rt *route) handleFailure(ctx context.Context, err error) (retry bool, finalErr error) {
 	if errors.Is(err, errOwnerUnreachable) {
 		return true, nil
--- a/jackdawd/internal/queue/lengths.go
+++ b/jackdawd/internal/queue/lengths.go
@@ -28,7 +28,8 @@
 	estimate   int64
 }
 
-// NewLengths returns an estimator of the given quantile of the output length, or of the mean if quantile is 0.
+// NewLengths returns an estimator of the given quantile of the output length, or of the
+// mean if quantile is 0.
 func NewLengths(quantile float64) *Lengths {
 	return &Lengths{quantile: quantile, classes: map[string]*classLengths{}}
 }
@@ -55,7 +56,8 @@
 	}
 }
 
-// Expect returns the expected output length of a class, in tokens, capped at limit if that is positive.
+// Expect returns the expected output length of a class, in tokens, capped at limit if that
+// is positive.
 func (e *Lengths) Expect(class string, limit int) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/jackdawd/internal/queue/limit.go
+++ b/jackdawd/internal/queue/limit.go
@@ -8,7 +8,8 @@
 const (
 	// adjustInterval is the minimum time between two changes of a limit.
 	adjustInterval = 500 * time.Millisecond
-	// tokenGapTarget is the target time between two tokens; at most maxLateRatio of the gaps may exceed it.
+	// tokenGapTarget is the target time between two tokens; at most maxLateRatio of the
+	// gaps may exceed it.
 	tokenGapTarget = 35 * time.Millisecond
 	maxLateRatio   = 0.05
 	decreaseFactor = 0.93
--- a/jackdawd/internal/queue/scheduler.go
+++ b/jackdawd/internal/queue/scheduler.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// maxQueueLength is the maximum number of requests in one upstream's queue, which bounds its memory.
+	// maxQueueLength is the maximum number of requests in one upstream's queue, which
+	// bounds its memory.
 	maxQueueLength = 4096
 	// rateWindow is the window over which the drain rate is averaged.
 	rateWindow = 2 * time.Second
@@ -52,13 +53,15 @@
 }
 
 const (
-	// lingerDivisor limits a returning chat's wait for its warm upstream to a third of its remaining time.
+	// lingerDivisor limits a returning chat's wait for its warm upstream to a third of its
+	// remaining time.
 	lingerDivisor = 3
 	// maxLinger limits that wait for classes with targets of hours.
 	maxLinger = 5 * time.Second
 )
 
-// LingerUntil returns the time until which a returning chat waits for its warm upstream before it is moved.
+// LingerUntil returns the time until which a returning chat waits for its warm upstream
+// before it is moved.
 func (t Ticket) LingerUntil(now time.Time) time.Time {
 	return now.Add(min(t.BeginBy.Sub(now)/lingerDivisor, maxLinger))
 }
@@ -75,7 +78,8 @@
 	return w.admitted
 }
 
-// A LoadCounter counts the upstream's load and checks requests against its load bound; costs are in tokens.
+// A LoadCounter counts the upstream's load and checks requests against its load bound;
+// costs are in tokens.
 type LoadCounter interface {
 	Fits(cost int64, urgency targets.Urgency) bool
 	Start(cost int64)
@@ -105,7 +109,8 @@
 	workspaces    map[string]*workspaceQueue
 }
 
-// workspaceQueue holds one workspace's waiting requests; servedTokens counts those admitted, for fair queueing.
+// workspaceQueue holds one workspace's waiting requests; servedTokens counts those
+// admitted, for fair queueing.
 type workspaceQueue struct {
 	servedTokens   int64
 	returningChats []*Waiter
@@ -117,12 +122,14 @@
 	return s.waitingRequests, s.waitingTokens
 }
 
-// NewLine returns an empty scheduler for the counter's upstream; onAdmit is called with each admitted waiter.
+// NewLine returns an empty scheduler for the counter's upstream; onAdmit is called with
+// each admitted waiter.
 func NewLine(limit *Limit, counter LoadCounter, onAdmit func(*Waiter)) *Line {
 	return &Line{limit: limit, counter: counter, onAdmit: onAdmit, classes: map[string]*classQueue{}}
 }
 
-// Enter enqueues a ticket, which may be admitted before it returns; errors are ErrFull and *LateError.
+// Enter enqueues a ticket, which may be admitted before it returns; errors are ErrFull and
+// *LateError.
 func (s *Line) Enter(now time.Time, t Ticket) (*Waiter, error) {
 	w := &Waiter{Ticket: t, ready: make(chan struct{})}
 	c := s.classFor(t)
@@ -222,7 +229,8 @@
 	return float64(c.inUseTokens) >= c.share*float64(s.limit.Tokens())
 }
 
-// expectedWait returns how long a ticket would wait behind the requests ahead of it, or 0 if unknown.
+// expectedWait returns how long a ticket would wait behind the requests ahead of it, or 0
+// if unknown.
 func (s *Line) expectedWait(now time.Time, t Ticket) time.Duration {
 	perSecond, ok := s.drainRate.perSecond(now)
 	if !ok {
@@ -274,7 +282,8 @@
 	ws.newChats = slices.DeleteFunc(ws.newChats, isSame)
 }
 
-// charge adds an admitted request to its workspace's served tokens, and resets all once nothing waits.
+// charge adds an admitted request to its workspace's served tokens, and resets all once
+// nothing waits.
 func (c *classQueue) charge(w *Waiter) {
 	c.inUseTokens += w.Cost
 	ws := c.workspaces[w.Workspace]
@@ -331,21 +340,21 @@
 
 // rate measures tokens per second over the current and the previous window.
 type rate struct {
-	windowStart time.Time
-	sum         int64
-	samples     int
-	previous    float64
+	windowStart  time.Time
+	tokens       int64
+	samples      int
+	previousRate float64
 }
 
-func (r *rate) add(now time.Time, n int64) {
+func (r *rate) add(now time.Time, tokens int64) {
 	if r.windowStart.IsZero() {
 		r.windowStart = now
 	}
 	if age := now.Sub(r.windowStart); age > rateWindow {
-		r.previous = float64(r.sum) / age.Seconds()
-		r.windowStart, r.sum = now, 0
+		r.previousRate = float64(r.tokens) / age.Seconds()
+		r.windowStart, r.tokens = now, 0
 	}
-	r.sum += n
+	r.tokens += tokens
 	r.samples++
 }
 
@@ -354,6 +363,6 @@
 	if r.samples < minRateSamples {
 		return 0, false
 	}
-	current := float64(r.sum) / max(now.Sub(r.windowStart).Seconds(), rateWindow.Seconds()/2)
-	return max(current, r.previous), true
+	current := float64(r.tokens) / max(now.Sub(r.windowStart).Seconds(), rateWindow.Seconds()/2)
+	return max(current, r.previousRate), true
 }
--- a/jackdawd/internal/routing/balancer.go
+++ b/jackdawd/internal/routing/balancer.go
@@ -16,7 +16,8 @@
 	// rowTTL is how long another owner's row is valid. After that the upstream counts as
 	// carrying the mean, unless this host has requests on it.
 	rowTTL = 30 * time.Second
-	// meanTTL is how long a pool's mean load is cached, to avoid a pass over the pool for each decision.
+	// meanTTL is how long a pool's mean load is cached, to avoid a pass over the pool for
+	// each decision.
 	meanTTL = 100 * time.Millisecond
 	// maxRememberedMoves is the maximum number of moved chats that are remembered.
 	maxRememberedMoves = 1 << 16
@@ -26,7 +27,8 @@
 	// minBoundDivisor sets the minimum of the load bound, capacity/minBoundDivisor: in a
 	// nearly idle fleet no skew is worth a cold cache.
 	minBoundDivisor = 16
-	// urgencyHeadroomRatio is the part of the mean by which the load bound falls with each lower urgency.
+	// urgencyHeadroomRatio is the part of the mean by which the load bound falls with each
+	// lower urgency.
 	urgencyHeadroomRatio = 0.03
 	// smoothingFactor is the weight of the newest value in an EWMA.
 	smoothingFactor = 0.3
@@ -83,7 +85,8 @@
 	return &Board{loads: map[uint64]*upstreamLoad{}, means: map[string]cachedMean{}, moves: moves, random: rand.New(source)}
 }
 
-// Own sets which upstreams this host owns, and drops those that are in no pool and have no requests here.
+// Own sets which upstreams this host owns, and drops those that are in no pool and have no
+// requests here.
 func (b *Board) Own(isOwned func(*Upstream) bool, pools map[string]*Pool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,7 +153,8 @@
 	}
 }
 
-// Rows returns up to limit rows on a pool to send to another owner: this host's own, then the newest others.
+// Rows returns up to limit rows on a pool to send to another owner: this host's own, then
+// the newest others.
 func (b *Board) Rows(now time.Time, p *Pool, limit int) []Row {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -246,7 +250,8 @@
 	return b.moveElsewhere(now, p, c)
 }
 
-// Move decides on a request whose limited wait has ended: it is moved, or waits if no other upstream is better.
+// Move decides on a request whose limited wait has ended: it is moved, or waits if no other
+// upstream is better.
 func (b *Board) Move(now time.Time, p *Pool, c Candidate) (Placement, *Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -289,7 +294,8 @@
 	return best
 }
 
-// Fits reports whether a request of that cost, in tokens, stays within the load bound of an upstream this host owns.
+// Fits reports whether a request of that cost, in tokens, stays within the load bound of an
+// upstream this host owns.
 func (b *Board) Fits(now time.Time, p *Pool, u *Upstream, cost int64, urgency targets.Urgency) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -303,7 +309,8 @@
 	return b.moves.Len()
 }
 
-// rememberedUpstream returns the upstream the chat was last moved to, if its prefix is likely still cached there.
+// rememberedUpstream returns the upstream the chat was last moved to, if its prefix is
+// likely still cached there.
 func (b *Board) rememberedUpstream(now time.Time, p *Pool, c Candidate) *Upstream {
 	chat := c.Chat
 	m, ok := b.moves.Get(chat)
--- a/jackdawd/internal/routing/view.go
+++ b/jackdawd/internal/routing/view.go
@@ -84,7 +84,8 @@
 	return p.upstreams[i], true
 }
 
-// maxCandidates is the number of ranked candidates of a chat; beyond them any upstream of the pool may be used.
+// maxCandidates is the number of ranked candidates of a chat; beyond them any upstream of
+// the pool may be used.
 const maxCandidates = 4
 
 // Rank returns the chat's candidates, best first, by rendezvous hashing, so that every
@@ -275,5 +276,6 @@
 // unlimitedLoad is the load bound of an upstream without others to compare with.
 const unlimitedLoad = math.MaxInt64
 
-// Multiple returns the pool's load multiple: the maximum load of an upstream as a multiple of the mean.
+// Multiple returns the pool's load multiple: the maximum load of an upstream as a multiple
+// of the mean.
 func (p *Pool) Multiple() float64 { return p.loadMultiple }
