--- a/jackdawd/internal/membership/changes.go
+++ b/jackdawd/internal/membership/changes.go
@@ -7,24 +7,25 @@
 	"jackdawhinge/common/traffic"
 )
 
-// keptChanges is how many changes of upstreams a host can tell another one by one;
-// one that is further behind is told all upstreams.
-const keptChanges = 256
+// maxRecentChanges is how many changes of upstreams a host keeps for its followers. A follower that
+// has missed more gets the complete list.
+const maxRecentChanges = 256
 
-// A Position is how far a host has followed another one's changes.
+// A Position is how far a host has followed another host's changes.
 type Position struct {
 	// Epoch identifies the other host's process; after its restart positions begin anew.
 	Epoch uint64
-	Next  int64
+	// Next is the number of changes that have been seen in the epoch.
+	Next int64
 }
 
-// Changes are what one host can tell another: the configuration in force, and what
-// has changed of the upstreams. They are immutable.
+// Changes are what a host sends to its followers: the configuration in force and the changes of
+// the upstreams. They are immutable.
 type Changes struct {
 	configuration *traffic.Configuration
 	end           Position
 	recent        []traffic.UpstreamEntry
-	listed        []traffic.UpstreamEntry
+	all           []traffic.UpstreamEntry
 	superseded    chan struct{}
 }
 
@@ -34,19 +35,20 @@
 // End returns the position after the last change.
 func (c *Changes) End() Position { return c.end }
 
-// Superseded is closed when there are newer changes.
+// Superseded returns a channel that is closed when there are newer changes.
 func (c *Changes) Superseded() <-chan struct{} { return c.superseded }
 
-// Since returns what has changed of the upstreams after a position.
+// Since returns the changes of the upstreams after a position, or the complete list if the position
+// is of another epoch or too old.
 func (c *Changes) Since(p Position) traffic.UpstreamChange {
 	missed := c.end.Next - p.Next
 	if p.Epoch != c.end.Epoch || missed < 0 || missed > int64(len(c.recent)) {
-		return traffic.UpstreamChange{Whole: true, Entries: c.listed}
+		return traffic.UpstreamChange{Whole: true, Entries: c.all}
 	}
 	return traffic.UpstreamChange{Entries: c.recent[int64(len(c.recent))-missed:]}
 }
 
-// changeLog gathers changes on the control goroutine.
+// changeLog collects changes; only the control goroutine uses it.
 type changeLog struct {
 	end    Position
 	recent []traffic.UpstreamEntry
@@ -58,16 +60,16 @@
 
 func (l *changeLog) add(e traffic.UpstreamEntry) {
 	l.recent = append(l.recent, e)
-	if len(l.recent) > keptChanges {
-		l.recent = l.recent[len(l.recent)-keptChanges:]
+	if len(l.recent) > maxRecentChanges {
+		l.recent = l.recent[len(l.recent)-maxRecentChanges:]
 	}
 	l.end.Next++
 }
 
-func (l *changeLog) changes(c *traffic.Configuration, listed map[string]traffic.Upstream) *Changes {
-	out := &Changes{configuration: c, end: l.end, recent: slices.Clone(l.recent), superseded: make(chan struct{})}
-	for _, u := range listed {
-		out.listed = append(out.listed, traffic.Listed(u))
+func (l *changeLog) snapshot(c *traffic.Configuration, upstreams map[string]traffic.Upstream) *Changes {
+	changes := &Changes{configuration: c, end: l.end, recent: slices.Clone(l.recent), superseded: make(chan struct{})}
+	for _, u := range upstreams {
+		changes.all = append(changes.all, traffic.Listed(u))
 	}
-	return out
+	return changes
 }
--- /dev/null
+++ b/jackdawd/internal/membership/leaving.go
@@ -0,0 +1,41 @@
+package membership
+
+import (
+	"maps"
+	"sync"
+	"time"
+
+	"jackdawhinge/common/traffic"
+)
+
+// leavingTTL is how long a leaving start is remembered, which is much longer than any takes to stop.
+const leavingTTL = time.Hour
+
+// leavingSet holds the starts of upstreams that announced in a response that they leave.
+//
+// While the store is unavailable an upstream cannot update its entry, and other hosts still send the
+// entry that says "ready" for seconds after. Applying that entry would send work to an upstream that
+// stops, so an announcement in a response overrides all entries of the same start.
+type leavingSet struct {
+	mu      sync.Mutex
+	addedAt map[traffic.Start]time.Time
+}
+
+// add adds a start, deletes those past their TTL and reports whether the start is new.
+func (l *leavingSet) add(now time.Time, start traffic.Start) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if _, known := l.addedAt[start]; known {
+		return false
+	}
+	maps.DeleteFunc(l.addedAt, func(_ traffic.Start, at time.Time) bool { return now.Sub(at) > leavingTTL })
+	l.addedAt[start] = now
+	return true
+}
+
+func (l *leavingSet) contains(start traffic.Start) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_, leaves := l.addedAt[start]
+	return leaves
+}
--- /dev/null
+++ b/jackdawd/internal/membership/poll.go
@@ -0,0 +1,106 @@
+package membership
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"jackdawhinge/common/pause"
+	"jackdawhinge/common/traffic"
+)
+
+// pollConfiguration reads the configuration until the context ends.
+func (t *Keeper) pollConfiguration(ctx context.Context) {
+	wait, retry := time.Duration(0), time.Duration(0)
+	unavailable := false
+	for ctx.Err() == nil {
+		sent := t.options.Uptime()
+		c, behind, err := t.options.Configurations.Next(ctx, wait)
+		if ctx.Err() != nil {
+			return
+		}
+		if err != nil {
+			if !unavailable {
+				logrus.WithError(err).WithField("age", t.Age().String()).Warn("membership: The configuration cannot be read. The last one stays in force.")
+			}
+			unavailable, wait, retry = true, 0, nextRetryInterval(retry)
+			pause.For(ctx, retry+rand.N(retry/2))
+			continue
+		}
+		if unavailable {
+			logrus.Info("membership: The configuration can be read again.")
+		}
+		unavailable, wait, retry = false, t.pollWait(), 0
+		if c == nil {
+			t.confirm(sent - behind)
+			continue
+		}
+		t.enqueue(ctx, func(s *state) {
+			t.applyConfiguration(s, c, t.options.Uptime()-sent+behind)
+			// The configuration counts as confirmed only once it is in force.
+			t.confirm(sent - behind)
+		})
+	}
+}
+
+// confirm records up to which uptime the configuration in force is known to be the latest.
+func (t *Keeper) confirm(at time.Duration) {
+	// A reply of another host may be older than what this host has read before.
+	if int64(at) > t.confirmedAt.Load() {
+		t.confirmedAt.Store(int64(at))
+	}
+}
+
+// nextRetryInterval returns the interval after a failed read, given the one before it.
+func nextRetryInterval(last time.Duration) time.Duration {
+	return min(max(2*last, minRetryInterval), maxRetryInterval)
+}
+
+// applyConfiguration puts a configuration into force; age is how old it may be.
+func (t *Keeper) applyConfiguration(s *state, c *traffic.Configuration, age time.Duration) {
+	if s.configuration != nil && c.Version() <= s.configuration.Version() {
+		// The store may return the newest record again. An older configuration never replaces a
+		// newer one.
+		return
+	}
+	s.configuration = c
+	logrus.WithFields(logrus.Fields{"version": c.Version(), "routes": c.Routes(), "age": age.String()}).Info("membership: A configuration is in force.")
+	t.publish(s)
+}
+
+// pollUpstreams reads the list of upstreams until the context ends.
+func (t *Keeper) pollUpstreams(ctx context.Context) {
+	var recovered time.Time
+	var retry time.Duration
+	lastRead := time.Now()
+	unavailable := false
+	for ctx.Err() == nil {
+		change, err := t.options.Upstreams.Next(ctx, time.Duration(listIntervalRatio*float64(t.bounds.Load().Drain)))
+		if ctx.Err() != nil {
+			return
+		}
+		if err != nil {
+			if !unavailable {
+				logrus.WithError(err).Warn("membership: The upstreams cannot be read. The last list stays in use.")
+			}
+			unavailable, retry = true, nextRetryInterval(retry)
+			pause.For(ctx, retry+rand.N(retry/2))
+			continue
+		}
+		if unavailable {
+			unavailable = false
+			if time.Since(lastRead) > t.bounds.Load().Lapse {
+				recovered = time.Now()
+			}
+			logrus.Info("membership: The upstreams can be read again.")
+		}
+		if change.Restored {
+			recovered = time.Now()
+		}
+		retry, lastRead = 0, time.Now()
+		graceEnd := recovered.Add(expiryGracePeriod)
+		t.enqueueAndWait(ctx, func(s *state) { t.applyUpstreamChange(s, change, graceEnd) })
+	}
+}
--- a/jackdawd/internal/membership/snapshot.go
+++ b/jackdawd/internal/membership/snapshot.go
@@ -9,69 +9,69 @@
 	"jackdawhinge/common/traffic"
 )
 
-// A Snapshot is what the host believed at one moment.
+// A Snapshot is a host's view of the configuration and the upstreams at one moment. It is immutable.
 type Snapshot struct {
 	configuration *traffic.Configuration
-	pools         map[string][]*traffic.Upstream
-	listed        map[string]*traffic.Upstream
-	all           map[string][]*traffic.Upstream
-	since         map[string]time.Time
-	avoided       map[string]bool
-	known         bool
+	// ready and all hold the upstreams by pool, byID each upstream by its identifier.
+	ready     map[string][]*traffic.Upstream
+	byID      map[string]*traffic.Upstream
+	all       map[string][]*traffic.Upstream
+	firstSeen map[string]time.Time
+	avoided   map[string]bool
+	// upstreamsKnown is set once the list of upstreams has been read.
+	upstreamsKnown bool
 }
 
 // Configuration returns the configuration in force, or nil before there is one.
 func (s *Snapshot) Configuration() *traffic.Configuration { return s.configuration }
 
-// Known reports whether the upstreams have been listed.
-func (s *Snapshot) Known() bool { return s.known }
+// Known reports whether the list of upstreams has been read.
+func (s *Snapshot) Known() bool { return s.upstreamsKnown }
 
-// Upstreams returns a pool's upstreams that take new work, in order of their
-// identifiers; the slice must not be changed.
-func (s *Snapshot) Upstreams(pool string) []*traffic.Upstream { return s.pools[pool] }
+// Upstreams returns a pool's ready upstreams, sorted by identifier; the slice must not be changed.
+func (s *Snapshot) Upstreams(pool string) []*traffic.Upstream { return s.ready[pool] }
 
-// Pools returns the upstreams that take new work by pool; the map must not be changed.
-func (s *Snapshot) Pools() map[string][]*traffic.Upstream { return s.pools }
+// Pools returns the ready upstreams by pool; the map must not be changed.
+func (s *Snapshot) Pools() map[string][]*traffic.Upstream { return s.ready }
 
-// Takes reports whether an upstream still takes new work.
+// Takes reports whether an upstream is listed and ready, so that it may get new work.
 func (s *Snapshot) Takes(id string) bool {
-	u, ok := s.listed[id]
+	u, ok := s.byID[id]
 	return ok && u.State == traffic.Ready
 }
 
-// Listed returns an upstream that is still listed, leaving or not.
+// Listed returns an upstream by its identifier, ready or leaving, and whether it is listed.
 func (s *Snapshot) Listed(id string) (*traffic.Upstream, bool) {
-	u, ok := s.listed[id]
+	u, ok := s.byID[id]
 	return u, ok
 }
 
-// All returns a pool's upstreams, also those that leave, in order of their
-// identifiers; the slice must not be changed.
+// All returns a pool's upstreams, ready or leaving, sorted by identifier; the slice must not be
+// changed.
 func (s *Snapshot) All(pool string) []*traffic.Upstream { return s.all[pool] }
 
-// Since returns when the upstream was listed first, as far as this host saw it.
-func (s *Snapshot) Since(id string) time.Time { return s.since[id] }
+// Since returns when this host first saw the current start of an upstream, or the zero time.
+func (s *Snapshot) Since(id string) time.Time { return s.firstSeen[id] }
 
-// Avoided reports whether this host's own experience speaks against an upstream.
+// Avoided reports whether an upstream is to be avoided because this host's requests to it fail.
 func (s *Snapshot) Avoided(id string) bool { return s.avoided[id] }
 
-// newSnapshot returns a snapshot of the upstreams that take new work.
-func newSnapshot(c *traffic.Configuration, listed map[string]traffic.Upstream, since map[string]time.Time, avoided map[string]bool) *Snapshot {
+func newSnapshot(c *traffic.Configuration, upstreams map[string]traffic.Upstream, firstSeen map[string]time.Time, avoided map[string]bool) *Snapshot {
 	s := &Snapshot{
-		configuration: c, pools: map[string][]*traffic.Upstream{},
-		all: map[string][]*traffic.Upstream{}, listed: map[string]*traffic.Upstream{},
-		since: maps.Clone(since), avoided: avoided,
+		configuration: c, ready: map[string][]*traffic.Upstream{},
+		all: map[string][]*traffic.Upstream{}, byID: map[string]*traffic.Upstream{},
+		firstSeen: maps.Clone(firstSeen), avoided: avoided,
 	}
-	for id, u := range listed {
-		s.listed[id] = &u
+	for id, u := range upstreams {
+		s.byID[id] = &u
 		s.all[u.Pool] = append(s.all[u.Pool], &u)
 		if u.State != traffic.Ready {
 			continue
 		}
-		s.pools[u.Pool] = append(s.pools[u.Pool], &u)
+		s.ready[u.Pool] = append(s.ready[u.Pool], &u)
 	}
 	byID := func(a, b *traffic.Upstream) int { return cmp.Compare(a.ID, b.ID) }
-	for _, pool := range s.pools {
+	for _, pool := range s.ready {
 		slices.SortFunc(pool, byID)
 	}
 	for _, pool := range s.all {
--- /dev/null
+++ b/jackdawd/internal/membership/tracker.go
@@ -0,0 +1,377 @@
+package membership
+
+import (
+	"context"
+	"maps"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"jackdawhinge/common/traffic"
+	"jackdawhinge/jackdawd/internal/control"
+)
+
+const (
+	// maxPollWait bounds how long one read of the configuration waits for a change.
+	maxPollWait = 10 * time.Second
+	// pollWaitRatio is the share of the revocation bound that such a read may wait. With 0.3 a lost
+	// read can time out and another one be answered before keys are no longer honored.
+	pollWaitRatio = 0.3
+	// revocationMargin is how long before the revocation bound keys are no longer honored. It covers
+	// the time from a request's arrival until it is forwarded.
+	revocationMargin = 200 * time.Millisecond
+	// listIntervalRatio is the share of the drain bound after which the upstreams are read again.
+	// The rest is for the read itself and for requests that are on their way.
+	listIntervalRatio = 0.75
+	// minRetryInterval is the interval after a first failed read. It doubles with each further one
+	// up to maxRetryInterval and has a jitter of up to half of it: calls cost money also while the
+	// store is unavailable, and the hosts must not all return at once. The longest interval is
+	// about 1 s with jitter, so that a host that reads the store and one that follows it are both
+	// back within two seconds of the store.
+	minRetryInterval = 200 * time.Millisecond
+	maxRetryInterval = 650 * time.Millisecond
+	// expiryGracePeriod is how long after the store's return upstreams are kept whose entries
+	// expired during the outage. Running upstreams have written their entries again by then.
+	expiryGracePeriod = 2 * time.Second
+	// minExpiredRatio is the share of a pool that must be missing for its entries to count as
+	// expired. It is above a third: a host that was partitioned for 12 s, while a release replaced
+	// 7 of 18 engines and three crashed, found a third missing.
+	minExpiredRatio = 0.5
+	// tickInterval is how often state that depends on time is updated.
+	tickInterval = 250 * time.Millisecond
+	// minRemovedVersions is how many removed upstreams are at least remembered before any is
+	// dropped.
+	minRemovedVersions = 1000
+	// inputQueueSize bounds the inputs that wait for the control goroutine.
+	inputQueueSize = 256
+)
+
+// Configurations is a source of the configuration: the store or another host.
+type Configurations interface {
+	// Next waits up to wait for a newer configuration and returns it, or nil if there is none. The
+	// result was the latest at the time of the call less behind.
+	Next(ctx context.Context, wait time.Duration) (c *traffic.Configuration, behind time.Duration, err error)
+}
+
+// Upstreams is a source of the list of upstreams: the store or another host.
+type Upstreams interface {
+	// Next waits up to pace for a change and returns it. A call means that the result of the call
+	// before has been applied.
+	Next(ctx context.Context, pace time.Duration) (traffic.UpstreamChange, error)
+}
+
+// Options hold the sources and settings of the membership.
+type Options struct {
+	Configurations Configurations
+	Upstreams      Upstreams
+	// Uptime returns a monotonic time that also counts while the host is suspended.
+	Uptime func() time.Duration
+	Bounds Bounds
+}
+
+// Bounds limit how long a change may take until it has effect, as operators set them.
+type Bounds struct {
+	// Revoke is how long a revoked key may still be honored.
+	Revoke time.Duration
+	// InForce is the maximum age of the configuration in force; 0 means no limit.
+	InForce time.Duration
+	// Drain is how long a leaving upstream may still be sent new work.
+	Drain time.Duration
+	// Lapse is the TTL of an upstream's entry in the store. If the store was unavailable for less,
+	// no entry can have expired, so upstreams that are missing have left.
+	Lapse time.Duration
+}
+
+// A Keeper maintains a host's view of the configuration and the upstreams. One goroutine owns its
+// state; the methods are safe for concurrent use.
+type Keeper struct {
+	options  Options
+	bounds   atomic.Pointer[Bounds]
+	snapshot atomic.Pointer[Snapshot]
+	// confirmedAt is the uptime at which the configuration in force was known to be the latest.
+	confirmedAt atomic.Int64
+	// staleTotal is how long in all the configuration was older than polling should make it.
+	staleTotal atomic.Int64
+	// overAgeTotal is how long in all the configuration may have been older than allowed.
+	overAgeTotal atomic.Int64
+	changes      atomic.Pointer[Changes]
+	// scores are this host's failure scores of upstreams, by the short hash of their starts.
+	scores atomic.Pointer[map[uint32]float64]
+	// leaving holds the starts of upstreams that announced in a response that they leave.
+	leaving *leavingSet
+	inputs  chan func(*state)
+	cancel  context.CancelFunc
+	wg      sync.WaitGroup
+}
+
+// neverConfirmed is the value of confirmedAt before the first answered read.
+const neverConfirmed = -1 << 62
+
+// NewKeeper starts to poll the sources and returns without waiting for them.
+func NewKeeper(o Options) *Keeper {
+	ctx, cancel := context.WithCancel(context.Background())
+	t := &Keeper{options: o, leaving: &leavingSet{addedAt: map[traffic.Start]time.Time{}}, inputs: make(chan func(*state), inputQueueSize), cancel: cancel}
+	t.confirmedAt.Store(neverConfirmed)
+	t.SetBounds(o.Bounds)
+	s := &state{changes: newChangeLog(), upstreams: map[string]traffic.Upstream{}, removeAt: map[string]time.Time{}, firstSeen: map[string]time.Time{}, newestVersions: map[string]entryVersion{}, evidence: control.NewEvidence(), leaving: t.leaving}
+	t.publish(s)
+	t.wg.Go(func() { t.run(ctx, s) })
+	t.wg.Go(func() { t.pollConfiguration(ctx) })
+	t.wg.Go(func() { t.pollUpstreams(ctx) })
+	return t
+}
+
+// Close stops polling and waits until it has ended; the last snapshot stays available.
+func (t *Keeper) Close() {
+	t.cancel()
+	t.wg.Wait()
+}
+
+// SetBounds replaces the bounds.
+func (t *Keeper) SetBounds(b Bounds) { t.bounds.Store(&b) }
+
+// Snapshot returns the latest snapshot.
+func (t *Keeper) Snapshot() *Snapshot { return t.snapshot.Load() }
+
+// Age returns the maximum age of the configuration in force: the time since the last answered read
+// was sent. Changes that were written after that may be missing.
+func (t *Keeper) Age() time.Duration {
+	confirmedAt := t.confirmedAt.Load()
+	if confirmedAt == neverConfirmed {
+		return time.Duration(1<<63 - 1)
+	}
+	return t.options.Uptime() - time.Duration(confirmedAt)
+}
+
+// HonorsKeys reports whether the configuration is recent enough to accept its keys: none of them can
+// have been revoked for longer than the revocation bound.
+func (t *Keeper) HonorsKeys() bool { return t.Age() < t.bounds.Load().Revoke-revocationMargin }
+
+// Current reports whether the configuration is as recent as polling should make it.
+func (t *Keeper) Current() bool { return t.Age() < 2*t.pollWait()+minRetryInterval }
+
+// OutOfTouch returns how long in all the configuration was older than polling should make it.
+func (t *Keeper) OutOfTouch() time.Duration { return time.Duration(t.staleTotal.Load()) }
+
+// Late returns how long in all the configuration may have been older than allowed.
+func (t *Keeper) Late() time.Duration { return time.Duration(t.overAgeTotal.Load()) }
+
+// Ready reports whether the host can serve: the upstreams are known, and a configuration whose keys
+// may be honored is in force.
+func (t *Keeper) Ready() bool {
+	s := t.Snapshot()
+	c := s.Configuration()
+	return s.Known() && c != nil && (!c.Keyed() || t.HonorsKeys())
+}
+
+// Observe records how a request to an upstream went. It never blocks: the observation is dropped if
+// the input queue is full.
+func (t *Keeper) Observe(start traffic.Start, outcome control.Experience) {
+	select {
+	case t.inputs <- func(s *state) {
+		if s.restartedSince(start) {
+			// A request that its upstream's restart cut off says nothing of the new start.
+			return
+		}
+		if s.evidence.Observe(time.Now(), start.ID, outcome) {
+			t.publishIfAvoidedChanged(s)
+		}
+	}:
+	default:
+	}
+}
+
+// publishScores publishes this host's failure scores of the listed upstreams.
+func (t *Keeper) publishScores(s *state) {
+	scores := map[uint32]float64{}
+	for id, score := range s.evidence.Scores(time.Now()) {
+		if u, ok := s.upstreams[id]; ok {
+			scores[u.ShortHash()] = score
+		}
+	}
+	t.scores.Store(&scores)
+}
+
+// Scores returns this host's failure scores of upstreams, by the short hash of their starts.
+func (t *Keeper) Scores() map[uint32]float64 {
+	if scores := t.scores.Load(); scores != nil {
+		return *scores
+	}
+	return nil
+}
+
+// TakeScores replaces the sums of all other hosts' failure scores. It never blocks: the scores are
+// dropped if the input queue is full, as they are sent again.
+func (t *Keeper) TakeScores(others map[uint32]float64) {
+	select {
+	case t.inputs <- func(s *state) {
+		scores := map[string]float64{}
+		for id, u := range s.upstreams {
+			if score := others[u.ShortHash()]; score > 0 {
+				scores[id] = score
+			}
+		}
+		s.evidence.Told(scores)
+	}:
+	default:
+	}
+}
+
+// Lost removes an upstream because another one answers at its address. It never blocks: the call has
+// no effect if the input queue is full.
+func (t *Keeper) Lost(start traffic.Start) {
+	select {
+	case t.inputs <- func(s *state) {
+		if _, ok := s.upstreams[start.ID]; ok && !s.restartedSince(start) {
+			s.remove(start.ID)
+			logrus.WithField("upstream", start.ID).Info("membership: Another upstream has the address. This one is gone.")
+			t.publish(s)
+		}
+	}:
+	default:
+	}
+}
+
+// Leaves records that an upstream announced in a response that it leaves. It never blocks: if the
+// input queue is full, the next tick applies the announcement.
+func (t *Keeper) Leaves(start traffic.Start) {
+	if !t.leaving.add(time.Now(), start) {
+		return
+	}
+	logrus.WithField("upstream", start.ID).Info("membership: An upstream says in its answers that it leaves.")
+	select {
+	case t.inputs <- t.applyLeaving:
+	default:
+	}
+}
+
+// applyLeaving sets the state of the upstreams that announced in a response that they leave.
+func (t *Keeper) applyLeaving(s *state) {
+	changed := false
+	for id, u := range s.upstreams {
+		if u.State == traffic.Ready && t.leaving.contains(u.Start()) {
+			u.State = traffic.Leaving
+			s.upstreams[id] = u
+			s.changes.add(traffic.Listed(u))
+			changed = true
+		}
+	}
+	if changed {
+		t.publish(s)
+	}
+}
+
+// pollWait returns how long one read of the configuration waits for a change.
+func (t *Keeper) pollWait() time.Duration {
+	return min(maxPollWait, time.Duration(pollWaitRatio*float64(t.bounds.Load().Revoke)))
+}
+
+func (t *Keeper) run(ctx context.Context, s *state) {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case input := <-t.inputs:
+			input(s)
+		case <-ticker.C:
+			t.trackAge(s)
+			t.removeExpired(s, time.Now())
+			t.applyLeaving(s)
+			t.publishIfAvoidedChanged(s)
+			t.publishScores(s)
+		}
+	}
+}
+
+// trackAge adds up, and logs, for how long the configuration is older than it should be.
+func (t *Keeper) trackAge(s *state) {
+	if !t.Current() {
+		t.staleTotal.Add(int64(tickInterval))
+	}
+	bound, age := t.bounds.Load().InForce, t.Age()
+	overAge := s.configuration != nil && bound > 0 && age > bound
+	if overAge {
+		t.overAgeTotal.Add(int64(tickInterval))
+	}
+	if overAge == s.overAge {
+		return
+	}
+	s.overAge = overAge
+	if overAge {
+		logrus.WithFields(logrus.Fields{"age": age.String(), "bound": bound.String()}).Warn("membership: The configuration may be older than operators allow.")
+		return
+	}
+	logrus.WithField("age", age.String()).Info("membership: The configuration is known in time again.")
+}
+
+// enqueueAndWait enqueues an input and waits until it has been applied: to a source its next call
+// means so.
+func (t *Keeper) enqueueAndWait(ctx context.Context, input func(*state)) {
+	done := make(chan struct{})
+	t.enqueue(ctx, func(s *state) {
+		input(s)
+		close(done)
+	})
+	select {
+	case <-done:
+	case <-ctx.Done():
+	}
+}
+
+// enqueue waits for a place in the input queue.
+func (t *Keeper) enqueue(ctx context.Context, input func(*state)) {
+	select {
+	case t.inputs <- input:
+	case <-ctx.Done():
+	}
+}
+
+// publishIfAvoidedChanged publishes a new snapshot if the set of avoided upstreams has changed.
+func (t *Keeper) publishIfAvoidedChanged(s *state) {
+	if !maps.Equal(s.avoided, t.avoidedUpstreams(s)) {
+		t.publish(s)
+	}
+}
+
+// avoidedUpstreams returns the upstreams to avoid, decided pool by pool.
+func (t *Keeper) avoidedUpstreams(s *state) map[string]bool {
+	pools := map[string][]string{}
+	for id, u := range s.upstreams {
+		pools[u.Pool] = append(pools[u.Pool], id)
+	}
+	avoided := map[string]bool{}
+	for _, pool := range pools {
+		maps.Copy(avoided, s.evidence.Avoid(time.Now(), pool))
+	}
+	return avoided
+}
+
+// publish replaces the snapshot and the changes.
+func (t *Keeper) publish(s *state) {
+	avoided := t.avoidedUpstreams(s)
+	for id := range avoided {
+		if !s.avoided[id] {
+			logrus.WithFields(logrus.Fields{"upstream": id, "pool": s.upstreams[id].Pool}).Info("membership: An upstream is avoided for failing here.")
+		}
+	}
+	for id := range s.avoided {
+		if !avoided[id] {
+			logrus.WithField("upstream", id).Info("membership: An upstream is trusted again.")
+		}
+	}
+	s.avoided = avoided
+	snapshot := newSnapshot(s.configuration, s.upstreams, s.firstSeen, avoided)
+	snapshot.upstreamsKnown = s.upstreamsKnown
+	t.snapshot.Store(snapshot)
+	old := t.changes.Swap(s.changes.snapshot(s.configuration, s.upstreams))
+	if old != nil {
+		close(old.superseded)
+	}
+}
+
+// Changes returns what this host sends to the hosts that follow it.
+func (t *Keeper) Changes() *Changes { return t.changes.Load() }
