--- a/jackdawd/internal/quarantine/fingerprint.go
+++ b/jackdawd/internal/quarantine/fingerprint.go
@@ -7,12 +7,12 @@
 	"strconv"
 )
 
-// A Fingerprint identifies what a caller asks for; copies of a request bear the same one. It is the
-// beginning of a cryptographic hash: no caller can make requests that crash upstreams and bear the
-// fingerprint of somebody else's, which would be refused for it.
+// A Fingerprint identifies the content of a request; copies of a request have the same one. It is
+// the first 64 bits of a cryptographic hash, so that no caller can craft requests that crash
+// upstreams and have the fingerprint of another caller's request, which would then be refused.
 type Fingerprint uint64
 
-// Content is what copies of a request have in common.
+// Content is the part of a request that its copies have in common.
 type Content struct {
 	Workspace string
 	Method    string
@@ -22,7 +22,7 @@
 	Body   []byte
 }
 
-// Fingerprint returns the hash of the content.
+// Fingerprint returns the fingerprint of the content.
 func (c Content) Fingerprint() Fingerprint {
 	d := sha256.New()
 	for _, text := range []string{c.Workspace, c.Method, c.Host, c.Target} {
@@ -36,7 +36,7 @@
 	return Fingerprint(binary.BigEndian.Uint64(d.Sum(nil)))
 }
 
-// ParseFingerprint returns the fingerprint that stands in a log.
+// ParseFingerprint parses a fingerprint in the form that String returns; an error is a *NoticeError.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	f, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
@@ -45,5 +45,5 @@
 	return Fingerprint(f), nil
 }
 
-// String returns the fingerprint as it stands in logs.
+// String returns the fingerprint as 16 hexadecimal digits, as in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
--- a/jackdawd/internal/quarantine/record.go
+++ b/jackdawd/internal/quarantine/record.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// A Record is what one host tells another of a request under which upstreams have ended. It holds ages,
-// not times, as hosts' clocks differ.
+// A Record is what one host sends another about a request during which upstreams crashed. It holds
+// ages instead of times because the clocks of hosts differ.
 type Record struct {
 	Request Fingerprint
 	Crashes []CrashRecord
-	// Answered is set if an upstream that had run the request has answered, AnsweredAge how long ago.
+	// Answered is set if an upstream has responded to the request, AnsweredAge is how long ago it
+	// did.
 	Answered    bool
 	AnsweredAge time.Duration
 }
 
-// A CrashRecord is one upstream that ended under a request.
+// A CrashRecord is the crash of one upstream during a request.
 type CrashRecord struct {
-	// Start is the short hash of the start of the upstream.
+	// Start is the short hash of the upstream's start.
 	Start uint32
-	// Age is how long ago it ended, Ran for how long it had had the request then.
+	// Age is how long ago the upstream crashed, Ran how long it had the request until then.
 	Age time.Duration
 	Ran time.Duration
 }
 
 func (r CrashRecord) crash(now time.Time) crash {
-	at := now.Add(-max(r.Age, 0))
-	return crash{start: r.Start, from: at.Add(-max(r.Ran, 0)), at: at}
+	crashedAt := now.Add(-max(r.Age, 0))
+	return crash{start: r.Start, sentAt: crashedAt.Add(-max(r.Ran, 0)), crashedAt: crashedAt}
 }
 
-// record returns what is told of a case.
-func (c *suspect) record(now time.Time, f Fingerprint) Record {
+func (s *suspect) record(now time.Time, f Fingerprint) Record {
 	r := Record{Request: f}
-	for _, k := range c.crashes {
-		r.Crashes = append(r.Crashes, CrashRecord{Start: k.start, Age: now.Sub(k.at), Ran: k.at.Sub(k.from)})
+	for _, c := range s.crashes {
+		r.Crashes = append(r.Crashes, CrashRecord{Start: c.start, Age: now.Sub(c.crashedAt), Ran: c.crashedAt.Sub(c.sentAt)})
 	}
-	if !c.answeredAt.IsZero() {
-		r.Answered, r.AnsweredAge = true, now.Sub(c.answeredAt)
+	if !s.answeredAt.IsZero() {
+		r.Answered, r.AnsweredAge = true, now.Sub(s.answeredAt)
 	}
 	return r
 }
 
-// take takes in what another host knows of the case, and reports whether any of it is news.
-func (c *suspect) take(now time.Time, r Record) bool {
-	news := false
+// merge merges a record into the suspect and reports whether that changed anything.
+func (s *suspect) merge(now time.Time, r Record) bool {
+	changed := false
 	if r.Answered {
-		news = c.answer(now.Add(-max(r.AnsweredAge, 0)))
+		changed = s.addResponse(now.Add(-max(r.AnsweredAge, 0)))
 	}
-	for _, k := range r.Crashes {
-		news = c.add(k.crash(now)) || news
+	for _, c := range r.Crashes {
+		changed = s.addCrash(c.crash(now)) || changed
 	}
-	return news
+	return changed
 }
--- a/jackdawd/internal/quarantine/registry.go
+++ b/jackdawd/internal/quarantine/registry.go
@@ -13,73 +13,78 @@
 )
 
 const (
-	// mostCases bounds what is remembered, to a megabyte. When more requests than that have met a crash
-	// within suspectedFor, those that met the fewest are forgotten first, one in forgottenShare at once.
-	mostCases      = 4096
-	forgottenShare = 8
-	// expireEvery is how often cases of long ago are looked for.
-	expireEvery = time.Second
-	// mostTold bounds the cases of one crash that are told at once, so that a message takes a few kilobytes. When
-	// many upstreams end with all their requests, the rest follows in the next messages.
-	mostTold = 100
+	// maxSuspects bounds the suspects in memory, to about a megabyte. When more requests have met a
+	// crash within suspectTTL, one in evictionDivisor is evicted at once, those with the fewest
+	// crashes first.
+	maxSuspects     = 4096
+	evictionDivisor = 8
+	// expiryInterval is how often expired suspects are deleted.
+	expiryInterval = time.Second
+	// maxSingleCrashRecords bounds the suspects with one crash in one message, so that a message
+	// takes a few kilobytes. When many upstreams crash with all their requests, the rest follows in
+	// the next messages.
+	maxSingleCrashRecords = 100
 )
 
-// A Position is how far a host has followed another one's registry.
+// A Position is how far a host has followed another host's registry.
 type Position struct {
 	// Epoch identifies the registry; after a restart positions begin anew.
 	Epoch uint64
-	Next  int64
+	// Next is the version of the registry up to which its changes are known.
+	Next int64
 }
 
-// A Registry holds the requests under which upstreams have ended. It is safe for concurrent use.
+// A Registry holds the requests during which upstreams crashed. It is safe for concurrent use.
 type Registry struct {
-	// size is how many cases there are, so that requests pass without a lock while there are none.
-	size    atomic.Int64
+	// count is the number of suspects; while there are none, requests need no lock.
+	count   atomic.Int64
 	mu      sync.Mutex
 	epoch   uint64
 	version int64
-	cases   map[Fingerprint]*suspect
-	changed chan struct{}
-	// expiredAt is when cases of long ago were looked for last.
-	expiredAt time.Time
+	// suspects are the requests during which upstreams crashed, by fingerprint.
+	suspects map[Fingerprint]*suspect
+	changed  chan struct{}
+	// lastExpiry is when expired suspects were last deleted.
+	lastExpiry time.Time
 }
 
-// NewRegistry returns a registry without cases.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{epoch: rand.Uint64(), cases: map[Fingerprint]*suspect{}, changed: make(chan struct{})}
+	return &Registry{epoch: rand.Uint64(), suspects: map[Fingerprint]*suspect{}, changed: make(chan struct{})}
 }
 
-// Empty reports whether no upstream has ended under any request of late.
-func (r *Registry) Empty() bool { return r.size.Load() == 0 }
+// Empty reports whether there are no suspects.
+func (r *Registry) Empty() bool { return r.count.Load() == 0 }
 
-// Barred reports whether a request is kept from upstreams, and for how long.
+// Barred reports whether a request is quarantined, and for how long still.
 func (r *Registry) Barred(now time.Time, f Fingerprint) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c, ok := r.cases[f]
-	if !ok || !c.barred() {
+	s, ok := r.suspects[f]
+	if !ok || !s.quarantined() {
 		return 0, false
 	}
-	left := c.expires().Sub(now)
+	left := s.expiresAt().Sub(now)
 	return left, left > 0
 }
 
-// Crashed takes in that an upstream, named by the short hash of its start, ended when it had had a request for a time.
+// Crashed records that an upstream, identified by the short hash of its start, crashed after it had
+// had the request for ran.
 func (r *Registry) Crashed(now time.Time, f Fingerprint, start uint32, ran time.Duration) {
 	r.Merge(now, []Record{{Request: f, Crashes: []CrashRecord{{Start: start, Ran: ran}}}})
 }
 
-// Answered takes in that an upstream has answered a request that it had run.
+// Answered records that an upstream ran a request and responded.
 func (r *Registry) Answered(now time.Time, f Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if c, ok := r.cases[f]; ok && c.answer(now) {
-		r.note(c)
-		r.raise()
+	if s, ok := r.suspects[f]; ok && s.addResponse(now) {
+		r.markChanged(s)
+		r.notify()
 	}
 }
 
-// Merge takes in what another host knows.
+// Merge merges the records of another host.
 func (r *Registry) Merge(now time.Time, records []Record) {
 	if len(records) == 0 {
 		return
@@ -87,150 +92,154 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
-	news := false
+	changed := false
 	for _, record := range records {
-		news = r.take(now, record) || news
+		changed = r.mergeRecord(now, record) || changed
 	}
-	r.size.Store(int64(len(r.cases)))
-	if news {
-		r.raise()
+	r.count.Store(int64(len(r.suspects)))
+	if changed {
+		r.notify()
 	}
 }
 
-// take takes in one record and reports whether it is news; the lock must be held.
-func (r *Registry) take(now time.Time, record Record) bool {
-	c, known := r.cases[record.Request]
+// mergeRecord merges one record and reports whether that changed anything; the lock must be held.
+func (r *Registry) mergeRecord(now time.Time, record Record) bool {
+	s, known := r.suspects[record.Request]
 	if !known {
-		c = &suspect{}
+		s = &suspect{}
 	}
-	before := c.barred()
-	if !c.take(now, record) || len(c.crashes) == 0 && !known || now.After(c.expires()) {
+	before := s.quarantined()
+	if !s.merge(now, record) || len(s.crashes) == 0 && !known || now.After(s.expiresAt()) {
 		return false
 	}
 	if !known {
-		r.makeRoom()
-		r.cases[record.Request] = c
+		r.evict()
+		r.suspects[record.Request] = s
 	}
-	r.note(c)
-	if !before && c.barred() {
-		logrus.WithFields(logrus.Fields{"fingerprint": record.Request.String(), "crashes": len(c.crashes), "for": c.expires().Sub(now).String()}).
+	r.markChanged(s)
+	if !before && s.quarantined() {
+		logrus.WithFields(logrus.Fields{"fingerprint": record.Request.String(), "crashes": len(s.crashes), "for": s.expiresAt().Sub(now).String()}).
 			Warn("quarantine: A request is kept from upstreams, which end under it.")
 	}
 	return true
 }
 
-// note numbers a change of a case; the lock must be held.
-func (r *Registry) note(c *suspect) {
+// markChanged gives a suspect the registry's next version; the lock must be held.
+func (r *Registry) markChanged(s *suspect) {
 	r.version++
-	c.changed = r.version
+	s.changedVersion = r.version
 }
 
-// raise wakes those who wait for a change; the lock must be held.
-func (r *Registry) raise() {
+// notify wakes those who wait for a change; the lock must be held.
+func (r *Registry) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Changed is closed when there is news.
+// Changed returns a channel that is closed at the next change.
 func (r *Registry) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// expire forgets cases of long ago; the lock must be held.
+// expire deletes expired suspects, at most once per expiryInterval; the lock must be held.
 func (r *Registry) expire(now time.Time) {
-	if now.Sub(r.expiredAt) < expireEvery {
+	if now.Sub(r.lastExpiry) < expiryInterval {
 		return
 	}
-	r.expiredAt = now
-	maps.DeleteFunc(r.cases, func(_ Fingerprint, c *suspect) bool { return now.After(c.expires()) })
+	r.lastExpiry = now
+	maps.DeleteFunc(r.suspects, func(_ Fingerprint, s *suspect) bool { return now.After(s.expiresAt()) })
 }
 
-// makeRoom forgets cases if there are too many: those that are not barred before others, and the
-// oldest of these; the lock must be held.
-func (r *Registry) makeRoom() {
-	if len(r.cases) < mostCases {
+// evict deletes suspects if there are too many, those with the fewest crashes first and of these the
+// oldest; the lock must be held.
+func (r *Registry) evict() {
+	if len(r.suspects) < maxSuspects {
 		return
 	}
-	order := func(a, b Fingerprint) int { return r.cases[a].compare(r.cases[b]) }
-	for _, f := range slices.SortedFunc(maps.Keys(r.cases), order)[:mostCases/forgottenShare] {
-		delete(r.cases, f)
+	order := func(a, b Fingerprint) int { return r.suspects[a].compare(r.suspects[b]) }
+	for _, f := range slices.SortedFunc(maps.Keys(r.suspects), order)[:maxSuspects/evictionDivisor] {
+		delete(r.suspects, f)
 	}
 }
 
-// compare orders cases by how much speaks against the request, and then by how new they are.
-func (c *suspect) compare(other *suspect) int {
-	return cmp.Or(cmp.Compare(len(c.crashes), len(other.crashes)), c.last().Compare(other.last()))
+// compare orders suspects by their number of crashes, and then by the time of the last event.
+func (s *suspect) compare(other *suspect) int {
+	return cmp.Or(cmp.Compare(len(s.crashes), len(other.crashes)), s.lastEvent().Compare(other.lastEvent()))
 }
 
-// News reports whether there are cases with so many crashes at least that changed after a position.
-func (r *Registry) News(p Position, least int) bool {
+// News reports whether any suspect that reached minCrashes has changed after a position.
+func (r *Registry) News(p Position, minCrashes int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range r.cases {
-		if r.tells(c, p, least) {
+	for _, s := range r.suspects {
+		if r.changedAfter(s, p, minCrashes) {
 			return true
 		}
 	}
 	return false
 }
 
-// tells reports whether a host at a position is told of a case; the lock must be held.
-func (r *Registry) tells(c *suspect, p Position, least int) bool {
-	return (p.Epoch != r.epoch || c.changed > p.Next) && c.worst >= least
+// changedAfter reports whether a suspect reached minCrashes and has changed after a position; the
+// lock must be held.
+func (r *Registry) changedAfter(s *suspect, p Position, minCrashes int) bool {
+	return (p.Epoch != r.epoch || s.changedVersion > p.Next) && s.peakCrashes >= minCrashes
 }
 
-// Since returns the cases with so many crashes at least that changed after a position, and the
-// position that they lead to. Those of one crash come in the order in which they changed, mostTold at once;
-// graver ones go before them, as chance seldom makes these.
-func (r *Registry) Since(now time.Time, p Position, least int) ([]Record, Position) {
+// Since returns the records of the suspects that reached minCrashes and have changed after a
+// position, and the position that they lead to. Suspects that only ever had one crash are limited to
+// maxSingleCrashRecords, in the order in which they changed. Those with more come first and without
+// limit, as coincidence seldom produces them.
+func (r *Registry) Since(now time.Time, p Position, minCrashes int) ([]Record, Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var grave, others []Fingerprint
-	for f, c := range r.cases {
+	var multiple, single []Fingerprint
+	for f, s := range r.suspects {
 		switch {
-		case !r.tells(c, p, least):
-		case c.worst > 1:
-			grave = append(grave, f)
+		case !r.changedAfter(s, p, minCrashes):
+		case s.peakCrashes > 1:
+			multiple = append(multiple, f)
 		default:
-			others = append(others, f)
+			single = append(single, f)
 		}
 	}
-	until := Position{Epoch: r.epoch, Next: r.version}
-	slices.SortFunc(others, func(a, b Fingerprint) int { return cmp.Compare(r.cases[a].changed, r.cases[b].changed) })
-	if len(others) > mostTold {
-		others = others[:mostTold]
-		until.Next = r.cases[others[mostTold-1]].changed
+	end := Position{Epoch: r.epoch, Next: r.version}
+	slices.SortFunc(single, func(a, b Fingerprint) int {
+		return cmp.Compare(r.suspects[a].changedVersion, r.suspects[b].changedVersion)
+	})
+	if len(single) > maxSingleCrashRecords {
+		single = single[:maxSingleCrashRecords]
+		end.Next = r.suspects[single[maxSingleCrashRecords-1]].changedVersion
 	}
 	var records []Record
-	for _, f := range append(grave, others...) {
-		records = append(records, r.cases[f].record(now, f))
+	for _, f := range append(multiple, single...) {
+		records = append(records, r.suspects[f].record(now, f))
 	}
-	return records, until
+	return records, end
 }
 
-// AllBarred returns the requests that are kept from upstreams.
+// AllBarred returns the records of the requests that are quarantined now.
 func (r *Registry) AllBarred(now time.Time) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var barred []Record
-	for f, c := range r.cases {
-		if c.barred() && now.Before(c.expires()) {
-			barred = append(barred, c.record(now, f))
+	var quarantined []Record
+	for f, s := range r.suspects {
+		if s.quarantined() && now.Before(s.expiresAt()) {
+			quarantined = append(quarantined, s.record(now, f))
 		}
 	}
-	return barred
+	return quarantined
 }
 
-// Counts returns how many requests are remembered, and how many of them are barred.
-func (r *Registry) Counts() (remembered, barred int) {
+// Counts returns the number of suspects and how many of them are quarantined.
+func (r *Registry) Counts() (suspects, quarantined int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range r.cases {
-		if c.barred() {
-			barred++
+	for _, s := range r.suspects {
+		if s.quarantined() {
+			quarantined++
 		}
 	}
-	return len(r.cases), barred
+	return len(r.suspects), quarantined
 }
