--- a/jackdawd/internal/exchange/client.go
+++ b/jackdawd/internal/exchange/client.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// readBufferBytes holds an answer's head and the usual event.
-	readBufferBytes = 4 << 10
-	// maxIdle bounds how long an unused connection is kept where the upstream does not say.
-	maxIdle = 8 * time.Second
-	// idleMargin is how much sooner than the upstream this side gives a connection
-	// up, so that a request does not cross the upstream's close.
+	// readBufferSize is enough for the header of a response and a usual event of its stream.
+	readBufferSize = 4 << 10
+	// defaultMaxIdle bounds how long an idle connection is pooled. It is less if the upstream
+	// states a shorter idle timeout.
+	defaultMaxIdle = 8 * time.Second
+	// idleMargin is how much earlier than the upstream's idle timeout this host stops using a
+	// connection, so that a request does not cross the upstream's close.
 	idleMargin = 1 * time.Second
-	// maxIdlePerUpstream bounds the kept connections to one upstream.
+	// maxIdlePerUpstream bounds the idle connections to one upstream.
 	maxIdlePerUpstream = 4
-	// maxLateAnswers is how many answers to earlier requests are passed over.
-	maxLateAnswers = 3
-	// maxLateBytes bounds the body of such an answer.
-	maxLateBytes = 1 << 20
-	// concurrentWriteBytes is the body size from which an answer is read while the
-	// body is still being written: an upstream may answer before it has read it
-	// all and then read no further.
-	concurrentWriteBytes = 16 << 10
-	// sweepEvery is how often connections that were idle for too long are closed.
-	sweepEvery = time.Second
+	// maxStaleResponses bounds the responses to earlier requests that are skipped.
+	maxStaleResponses = 3
+	// maxStaleBodyBytes bounds how much of the body of such a response is skipped.
+	maxStaleBodyBytes = 1 << 20
+	// concurrentWriteThreshold is the size in bytes above which a body is written while the
+	// response is read: an upstream may respond before it has read all of the body, and then read
+	// no further.
+	concurrentWriteThreshold = 16 << 10
+	// closeInterval is how often expired idle connections are closed.
+	closeInterval = time.Second
 )
 
-// Heads reads the heads of answers.
+// Heads parses the headers of responses.
 type Heads interface {
 	Answer(status int, h http.Header) traffic.Answer
 }
@@ -45,9 +46,10 @@
 // A Call is one request to one upstream.
 type Call struct {
 	Address string
-	// Upstream is the start of the upstream that is meant; connections to an earlier one are not used.
+	// Upstream is the start of the upstream that is to run the request. Connections to an earlier
+	// start at the same address are not used.
 	Upstream traffic.Start
-	// ID identifies the request in answers.
+	// ID is the request identifier that the response must carry.
 	ID     string
 	Method string
 	// Target is the path and query exactly as the caller sent them.
@@ -55,42 +57,45 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HeadWithin is how long the head of the answer may take; 0 means as long as the context lasts.
+	// HeadWithin is the timeout for the header of the response; 0 means that only the context
+	// bounds it.
 	HeadWithin time.Duration
-	// GiveUp is asked each time the upstream was silent for that long, or later for the
-	// patience set, whether that is too long; if it is nil, it is.
+	// GiveUp is called each time the timeout for the header, or later the one for reads of the
+	// body, has passed without data, and reports whether to stop waiting; nil means always.
 	GiveUp func() bool
-	// MaxIdle bounds how long ago the connection was last used. A request that must
-	// not run twice is not risked on one that the upstream may just be closing.
+	// MaxIdle bounds how long the connection may have been idle; 0 means no bound. A request that
+	// must not run twice avoids connections that the upstream may be about to close.
 	MaxIdle time.Duration
 	// MaxConnections bounds this host's connections to the upstream; 0 means no bound.
 	MaxConnections int
 }
 
-// A Client sends requests to upstreams.
+// A Client sends requests to upstreams and pools connections. It is safe for concurrent use.
 type Client struct {
-	heads  Heads
-	dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	mu     sync.Mutex
+	heads Heads
+	dial  func(ctx context.Context, network, address string) (net.Conn, error)
+	mu    sync.Mutex
+	// idle holds the idle connections and open counts all connections, by address.
 	idle   map[string][]*conn
 	open   map[string]int
 	dialed int64
 	stop   chan struct{}
 }
 
-// NewClient returns a client that reads heads as given and dials with the function, or over TCP if it is nil.
+// NewClient returns a client that parses headers with heads and connects with dial, or over TCP if
+// it is nil.
 func NewClient(heads Heads, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	if dial == nil {
 		dial = newDialer().DialContext
 	}
 	c := &Client{heads: heads, dial: dial, idle: map[string][]*conn{}, open: map[string]int{}, stop: make(chan struct{})}
 	go func() {
-		ticker := time.NewTicker(sweepEvery)
+		ticker := time.NewTicker(closeInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ticker.C:
-				c.sweep(time.Now())
+				c.closeExpired(time.Now())
 			case <-c.stop:
 				return
 			}
@@ -99,58 +104,58 @@
 	return c
 }
 
-// Close closes the connections that are not in use.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	close(c.stop)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, idle := range c.idle {
-		for _, k := range idle {
-			_ = k.Close()
+		for _, cn := range idle {
+			_ = cn.Close()
 		}
 		c.open[address] -= len(idle)
 	}
 	clear(c.idle)
 }
 
-// Dialed returns how many connections were opened since the start.
+// Dialed returns how many connections the client has dialed, including failed attempts.
 func (c *Client) Dialed() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dialed
 }
 
-// Do sends a call and returns its answer's head; the answer must be closed. An
-// error is a *NotSentError, a *BrokenError or a *CrossedError.
+// Do sends a request and reads the header of its response, which the caller must close. An error is
+// a *NotSentError, an *InterruptedError or a *MismatchError.
 func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
 	for {
-		k, err := c.take(ctx, call)
+		cn, err := c.acquire(ctx, call)
 		if err != nil {
 			return nil, &NotSentError{Cause: err}
 		}
-		answer, err := c.send(ctx, k, call)
+		resp, err := c.send(ctx, cn, call)
 		var notSent *NotSentError
-		if errors.As(err, &notSent) && k.used && ctx.Err() == nil {
-			// The kept connection was closed before a byte was taken.
+		if errors.As(err, &notSent) && cn.used && ctx.Err() == nil {
+			// The pooled connection was closed before any byte was written.
 			continue
 		}
-		return answer, err
+		return resp, err
 	}
 }
 
-// take returns a kept connection that may be used for the call, or a new one.
-func (c *Client) take(ctx context.Context, call Call) (*conn, error) {
+// acquire returns a pooled connection that the request may use, or a new one.
+func (c *Client) acquire(ctx context.Context, call Call) (*conn, error) {
 	for {
-		k := c.pop(call)
-		if k == nil {
+		cn := c.popIdle(call)
+		if cn == nil {
 			break
 		}
-		// What an earlier start had not yet sent would be taken for this one's answer, and a
-		// request written to a connection that it left behind may or may not have arrived.
-		if k.upstream == call.Upstream && k.quiet() {
-			return k, nil
+		// On a connection to an earlier start, unsent data of that start could be taken for the
+		// response, and a request written to it may or may not arrive.
+		if cn.upstream == call.Upstream && cn.reusable() {
+			return cn, nil
 		}
-		c.discard(k)
+		c.discard(cn)
 	}
 	if err := c.reserve(call); err != nil {
 		return nil, err
@@ -158,13 +163,14 @@
 	raw, err := c.dial(ctx, "tcp", call.Address)
 	if err != nil {
 		c.mu.Lock()
-		c.forget(call.Address)
+		c.release(call.Address)
 		c.mu.Unlock()
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), address: call.Address, upstream: call.Upstream}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), address: call.Address, upstream: call.Upstream}, nil
 }
 
+// reserve counts one connection more, or returns an error if the call's limit is reached.
 func (c *Client) reserve(call Call) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,8 +182,9 @@
 	return nil
 }
 
-// pop takes the connection that was used last, if it was used recently enough.
-func (c *Client) pop(call Call) *conn {
+// popIdle takes the most recently used connection from the pool; nil if it has been idle for too
+// long.
+func (c *Client) popIdle(call Call) *conn {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,62 +192,61 @@
 	if len(idle) == 0 {
 		return nil
 	}
-	k := idle[len(idle)-1]
-	unused := now.Sub(k.idleSince)
-	if unused > k.idleFor || (call.MaxIdle > 0 && unused > call.MaxIdle) {
+	cn := idle[len(idle)-1]
+	idleTime := now.Sub(cn.idleSince)
+	if idleTime > cn.maxIdle || (call.MaxIdle > 0 && idleTime > call.MaxIdle) {
 		return nil
 	}
 	c.idle[call.Address] = idle[:len(idle)-1]
-	return k
+	return cn
 }
 
-// discard closes a connection.
-func (c *Client) discard(k *conn) {
-	// The other side notices, or is gone.
-	_ = k.Close()
+func (c *Client) discard(cn *conn) {
+	// An error needs no handling: the connection is no longer used.
+	_ = cn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forget(k.address)
+	c.release(cn.address)
 }
 
-// forget counts one connection less; the lock must be held.
-func (c *Client) forget(address string) {
+// release counts one connection less; the lock must be held.
+func (c *Client) release(address string) {
 	c.open[address]--
 	if c.open[address] <= 0 {
 		delete(c.open, address)
 	}
 }
 
-// keep puts a connection back for the next call.
-func (c *Client) keep(k *conn, idleFor time.Duration) {
-	if err := k.SetDeadline(time.Time{}); err != nil {
-		c.discard(k)
+// putIdle returns a connection to the pool, or closes it if the pool is full.
+func (c *Client) putIdle(cn *conn, maxIdle time.Duration) {
+	if err := cn.SetDeadline(time.Time{}); err != nil {
+		c.discard(cn)
 		return
 	}
-	k.used, k.idleSince, k.idleFor = true, time.Now(), idleFor
+	cn.used, cn.idleSince, cn.maxIdle = true, time.Now(), maxIdle
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[k.address]) < maxIdlePerUpstream {
-		c.idle[k.address] = append(c.idle[k.address], k)
+	if len(c.idle[cn.address]) < maxIdlePerUpstream {
+		c.idle[cn.address] = append(c.idle[cn.address], cn)
 		return
 	}
-	_ = k.Close()
-	c.forget(k.address)
+	_ = cn.Close()
+	c.release(cn.address)
 }
 
-// sweep closes connections that have been idle for too long.
-func (c *Client) sweep(now time.Time) {
+// closeExpired closes connections that have been idle for too long.
+func (c *Client) closeExpired(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, idle := range c.idle {
 		fresh := idle[:0]
-		for _, k := range idle {
-			if now.Sub(k.idleSince) <= k.idleFor {
-				fresh = append(fresh, k)
+		for _, cn := range idle {
+			if now.Sub(cn.idleSince) <= cn.maxIdle {
+				fresh = append(fresh, cn)
 				continue
 			}
-			_ = k.Close()
-			c.forget(address)
+			_ = cn.Close()
+			c.release(address)
 		}
 		c.idle[address] = fresh
 		if len(fresh) == 0 {
@@ -249,25 +255,26 @@
 	}
 }
 
-// send writes the call and reads the head of its answer.
-func (c *Client) send(ctx context.Context, k *conn, call Call) (*Answer, error) {
-	// The caller's leaving must end the upstream's work at once, and closing the
-	// connection is what tells it.
-	unwatch := context.AfterFunc(ctx, func() { _ = k.Close() })
-	a := &Answer{client: c, conn: k, call: call, unwatch: unwatch}
-	head := encodeHead(call)
-	if err := a.write(head); err != nil {
-		a.Close()
+// send writes the request and reads the header of its response.
+func (c *Client) send(ctx context.Context, cn *conn, call Call) (*Answer, error) {
+	// When the caller cancels, the upstream must stop working at once; closing the connection is
+	// what tells it.
+	stopCancel := context.AfterFunc(ctx, func() { _ = cn.Close() })
+	r := &Answer{client: c, conn: cn, call: call, stopCancel: stopCancel}
+	request := encodeRequest(call)
+	if err := r.writeRequest(request); err != nil {
+		r.Close()
 		return nil, err
 	}
-	if err := a.readHead(); err != nil {
-		a.Close()
+	if err := r.readHead(); err != nil {
+		r.Close()
 		return nil, err
 	}
-	return a, nil
+	return r, nil
 }
 
-func encodeHead(call Call) []byte {
+// encodeRequest returns the header of the request, and the body if it is short.
+func encodeRequest(call Call) []byte {
 	var b bytes.Buffer
 	b.Grow(1 << 10)
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", call.Method, call.Target, call.Host)
@@ -277,7 +284,7 @@
 	// Writing to a buffer cannot fail.
 	_ = call.Header.Write(&b)
 	b.WriteString("\r\n")
-	if len(call.Body) <= concurrentWriteBytes {
+	if len(call.Body) <= concurrentWriteThreshold {
 		b.Write(call.Body)
 	}
 	return b.Bytes()
--- a/jackdawd/internal/exchange/conn.go
+++ b/jackdawd/internal/exchange/conn.go
@@ -12,18 +12,17 @@
 )
 
 const (
-	// dialTimeout is how long a connection may take to be made. Hosts are a few
-	// milliseconds apart; past this the packets are lost or the upstream is dark.
+	// dialTimeout bounds the time to open a connection. Hosts are a few milliseconds apart, so a
+	// longer time means that packets are lost or the upstream is unreachable.
 	dialTimeout = 700 * time.Millisecond
-	// unackedTimeout ends a connection whose packets the other side does not
-	// acknowledge: an upstream behind a partition would else hold the request
-	// until its deadline.
-	unackedTimeout = 3 * time.Second
-	// probeAfter and probeEvery find a connection that went silent without a reset
-	// while nothing is being sent on it, after about five seconds.
-	probeAfter = 2 * time.Second
-	probeEvery = time.Second
-	probeCount = 3
+	// tcpUserTimeout ends a connection whose packets the peer does not acknowledge. Without it a
+	// request to an upstream behind a network partition would wait until its deadline.
+	tcpUserTimeout = 3 * time.Second
+	// The keep-alive probes detect, after about five seconds, a connection on which nothing is sent
+	// and whose peer went away without a reset.
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
 )
 
 // conn is one connection to an upstream.
@@ -31,54 +30,54 @@
 	net.Conn
 	reader  *bufio.Reader
 	address string
-	// upstream is the start that it was opened to.
+	// upstream is the start of the upstream to which the connection was opened.
 	upstream traffic.Start
-	used     bool
-	// idleSince and idleFor say when the connection was put back and how long it may be kept.
+	// used is set once the connection has served a request.
+	used bool
+	// idleSince is when the connection was put back, maxIdle how long it may stay idle.
 	idleSince time.Time
-	idleFor   time.Duration
+	maxIdle   time.Duration
 }
 
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
-			var failed error
+			var optErr error
 			err := c.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+				optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return optErr
 		},
 	}
 }
 
-// quiet reports whether an idle connection is still open and has nothing to
-// read. Bytes that came unasked belong to no request, and an end that has
-// arrived would break the next one.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection is still open and has nothing to read. Unsolicited
+// bytes belong to no request, and a connection that the peer has closed would fail the next one.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		// Connections of tests have no descriptor; they are checked by reading alone.
+		// Connections in tests have no descriptor; only their buffer is checked.
 		return true
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	nothingToRead := false
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		nothingToRead = err == unix.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && nothingToRead
 }
--- a/jackdawd/internal/exchange/doc.go
+++ b/jackdawd/internal/exchange/doc.go
@@ -1,9 +1,8 @@
-// Package exchange sends one request to an upstream and reads its answer, over
-// kept connections.
+// Package exchange is the HTTP/1.1 client for requests to upstreams. It sends one request over a
+// pooled connection and reads its response. The relay calls it for each try of a request.
 //
-// It stands in the place of net/http's client transport because that one sends
-// a request again by itself when a kept connection turns out to be closed, for
-// any GET, and pairs whatever bytes come next with the request in progress. Here
-// a request is written once, an error says whether any of it left this host, and
-// an answer to an earlier request is recognized and passed over.
+// It is used instead of http.Transport, which by itself sends any GET again when a pooled
+// connection turns out to be closed, and takes whatever bytes come next as the response to the
+// current request. This client writes a request once, its errors say whether any of the request
+// left this host, and it recognizes and skips responses to earlier requests.
 package exchange
--- a/jackdawd/internal/exchange/errors.go
+++ b/jackdawd/internal/exchange/errors.go
@@ -7,13 +7,13 @@
 	"syscall"
 )
 
-// ErrBusy says that as many connections to the upstream are open as are allowed; nothing was sent.
+// ErrBusy means that the limit of connections to the upstream is reached; nothing was sent.
 var ErrBusy = errors.New("too many connections to the upstream")
 
-// ErrStalled says that the upstream was silent for too long.
-var ErrStalled = errors.New("upstream is silent")
+// ErrReadTimeout means that the upstream sent nothing within the time allowed.
+var ErrReadTimeout = errors.New("upstream sent no data within the read timeout")
 
-// A NotSentError says that nothing of the request has left this host.
+// A NotSentError means that nothing of the request has left this host.
 type NotSentError struct {
 	Cause error
 }
@@ -24,35 +24,35 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// A BrokenError says that the connection failed after something was sent: the
-// upstream may have executed the request.
-type BrokenError struct {
+// An InterruptedError means that the exchange failed after something was sent: the upstream may have
+// executed the request.
+type InterruptedError struct {
 	Cause error
 }
 
 // Error returns the cause.
-func (e *BrokenError) Error() string { return fmt.Sprintf("answer broke off: %v", e.Cause) }
+func (e *InterruptedError) Error() string { return fmt.Sprintf("answer broke off: %v", e.Cause) }
 
 // Unwrap returns the cause.
-func (e *BrokenError) Unwrap() error { return e.Cause }
+func (e *InterruptedError) Unwrap() error { return e.Cause }
 
-// Ended reports whether an error says that the upstream ended the connection, as it does when its
-// process is gone; it did not just fall silent or answer something else.
+// Ended reports whether an error means that the upstream closed the connection, as it does when its
+// process ends. A timeout or a response to another request is not one.
 func Ended(err error) bool {
-	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE} {
-		if errors.Is(err, end) {
+	for _, closed := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE} {
+		if errors.Is(err, closed) {
 			return true
 		}
 	}
 	return false
 }
 
-// A CrossedError says that the answer belongs to another request.
-type CrossedError struct {
+// A MismatchError means that the response belongs to another request.
+type MismatchError struct {
 	Want, Got string
 }
 
-// Error returns both requests.
-func (e *CrossedError) Error() string {
+// Error returns the identifiers of both requests.
+func (e *MismatchError) Error() string {
 	return fmt.Sprintf("answer to request %q where one to %q was due", e.Got, e.Want)
 }
--- /dev/null
+++ b/jackdawd/internal/exchange/response.go
@@ -0,0 +1,208 @@
+package exchange
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"time"
+
+	"jackdawhinge/common/traffic"
+)
+
+// An Answer is an upstream's response whose header has been read.
+type Answer struct {
+	client *Client
+	conn   *conn
+	call   Call
+	// stopCancel stops the closing of the connection on cancellation; false if that has begun.
+	stopCancel func() bool
+	head       traffic.Answer
+	resp       *http.Response
+	// bodyWritten is closed when the request body has been written; nil if it was written with the
+	// header.
+	bodyWritten chan struct{}
+	writeErr    error
+	readTimeout time.Duration
+	// complete is set once the whole body has been read.
+	complete bool
+}
+
+// Head returns the parsed header.
+func (r *Answer) Head() traffic.Answer { return r.head }
+
+// Status returns the status code.
+func (r *Answer) Status() int { return r.resp.StatusCode }
+
+// Header returns the header fields.
+func (r *Answer) Header() http.Header { return r.resp.Header }
+
+// Length returns the length of the body in bytes, or -1 if it is unknown.
+func (r *Answer) Length() int64 { return r.resp.ContentLength }
+
+// SetPatience sets the timeout of each read of the body; 0 means that only the context bounds it.
+func (r *Answer) SetPatience(d time.Duration) { r.readTimeout = d }
+
+// Buffered reports whether more of the response has already arrived.
+func (r *Answer) Buffered() bool { return r.conn.reader.Buffered() > 0 }
+
+// writeRequest writes the request; a long body is written while the response is awaited.
+func (r *Answer) writeRequest(request []byte) error {
+	n, err := r.conn.Write(request)
+	if err != nil && n == 0 {
+		return &NotSentError{Cause: err}
+	}
+	if err != nil {
+		return &InterruptedError{Cause: err}
+	}
+	if len(r.call.Body) <= concurrentWriteThreshold {
+		return nil
+	}
+	r.bodyWritten = make(chan struct{})
+	go func() {
+		defer close(r.bodyWritten)
+		_, r.writeErr = r.conn.Write(r.call.Body)
+	}()
+	return nil
+}
+
+func (r *Answer) readHead() error {
+	if err := r.awaitData(r.call.HeadWithin); err != nil {
+		return &InterruptedError{Cause: translateReadError(err)}
+	}
+	for range maxStaleResponses + 1 {
+		resp, err := r.readResponse()
+		if err != nil {
+			return &InterruptedError{Cause: translateReadError(err)}
+		}
+		r.resp, r.head = resp, r.client.heads.Answer(resp.StatusCode, resp.Header)
+		if r.head.ID == r.call.ID || (r.head.ID == "" && r.head.NotRun) {
+			// The header timeout must not cut off a long body.
+			r.setReadDeadline(0)
+			return nil
+		}
+		if !r.conn.used {
+			return &MismatchError{Want: r.call.ID, Got: r.head.ID}
+		}
+		// This is a second response to an earlier request on the connection; skip it.
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStaleBodyBytes)); err != nil {
+			return &InterruptedError{Cause: translateReadError(err)}
+		}
+	}
+	return &MismatchError{Want: r.call.ID, Got: r.head.ID}
+}
+
+// readResponse reads the header of the next response that is not an interim (1xx) one.
+func (r *Answer) readResponse() (*http.Response, error) {
+	for {
+		resp, err := http.ReadResponse(r.conn.reader, &http.Request{Method: r.call.Method})
+		if err != nil {
+			return nil, err
+		}
+		if resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
+			return resp, nil
+		}
+	}
+}
+
+// Read reads from the body. It returns io.EOF at the end of the complete body, else an
+// *InterruptedError.
+func (r *Answer) Read(p []byte) (int, error) {
+	if r.readTimeout > 0 && r.conn.reader.Buffered() == 0 {
+		if err := r.awaitData(r.readTimeout); err != nil {
+			return 0, &InterruptedError{Cause: translateReadError(err)}
+		}
+	}
+	n, err := r.resp.Body.Read(p)
+	switch {
+	case err == io.EOF:
+		r.complete = true
+		return n, io.EOF
+	case err != nil:
+		return n, &InterruptedError{Cause: translateReadError(err)}
+	}
+	return n, nil
+}
+
+// awaitData waits up to d for data and then allows d again for the rest of it. Only the wait for the
+// first byte can be repeated after a timeout, as nothing has been consumed then.
+func (r *Answer) awaitData(d time.Duration) error {
+	for d > 0 {
+		r.setReadDeadline(d)
+		_, err := r.conn.reader.Peek(1)
+		switch {
+		case !errors.Is(err, os.ErrDeadlineExceeded):
+			// Other errors are left to the following read: only it knows whether the response may
+			// end here.
+			r.setReadDeadline(d)
+			return nil
+		case r.call.GiveUp == nil || r.call.GiveUp():
+			return err
+		}
+	}
+	r.setReadDeadline(0)
+	return nil
+}
+
+// setReadDeadline bounds reads to d from now; 0 means that only the context bounds them.
+func (r *Answer) setReadDeadline(d time.Duration) {
+	deadline := time.Time{}
+	if d > 0 {
+		deadline = time.Now().Add(d)
+	}
+	// Setting a deadline fails only on a closed connection. What arrived before is still valid, and
+	// reads return at once.
+	_ = r.conn.SetReadDeadline(deadline)
+}
+
+// translateReadError turns a passed deadline into ErrReadTimeout, and io.EOF within a response into
+// io.ErrUnexpectedEOF, so that no caller takes it for the end of the body.
+func translateReadError(err error) error {
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return ErrReadTimeout
+	case errors.Is(err, io.EOF):
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
+
+// Close returns the connection to the pool if another request may follow on it. Else it closes it,
+// which tells the upstream to stop working on the request.
+func (r *Answer) Close() {
+	if !r.stopCancel() || !r.connReusable() {
+		r.client.discard(r.conn)
+		return
+	}
+	r.client.putIdle(r.conn, r.maxIdle())
+}
+
+// connReusable reports whether the exchange is over: the response is complete and delimited, and the
+// request has been written.
+func (r *Answer) connReusable() bool {
+	if !r.complete || r.resp.Close {
+		return false
+	}
+	delimited := r.resp.ContentLength >= 0 || len(r.resp.TransferEncoding) > 0
+	if !delimited {
+		return false
+	}
+	if r.bodyWritten == nil {
+		return true
+	}
+	select {
+	case <-r.bodyWritten:
+		return r.writeErr == nil
+	default:
+		// The upstream still waits for the rest of the body and would take the next request for it.
+		return false
+	}
+}
+
+// maxIdle returns how long the connection may stay idle in the pool.
+func (r *Answer) maxIdle() time.Duration {
+	if r.head.IdleTimeout <= 0 {
+		return defaultMaxIdle
+	}
+	return min(defaultMaxIdle, max(r.head.IdleTimeout-idleMargin, 0))
+}
