--- a/jackdawd/internal/admission/delay.go
+++ b/jackdawd/internal/admission/delay.go
@@ -27,7 +27,7 @@
 	defer c.mu.Unlock()
 	p := c.pool(r.Pool)
 	told := p.shareUpTo(rank) * backlog.Waiting * float64(p.expectedService()) / max(backlog.Running, 1)
-	return max(time.Duration(told), c.waitedBefore(now, rank, at, backlog.Crowded))
+	return max(time.Duration(told), c.waitedBefore(now, rank, at, backlog.HadQueue))
 }
 
 // Stuck reports whether several of this host's requests at an upstream should have begun long ago.
--- a/jackdawd/internal/placement/balancer.go
+++ b/jackdawd/internal/placement/balancer.go
@@ -12,68 +12,68 @@
 )
 
 const (
-	// planLifetime is how long a plan counts that is not drawn anew: no plan at all is better
-	// than one of another load.
-	planLifetime = 10 * time.Second
-	// promptSmoothing is the time over which the requests in progress of a prompt are averaged.
-	promptSmoothing = 750 * time.Millisecond
-	// risingTimes is how many times as many requests as planned for a prompt are worth a plan
-	// at once, risingGrowth how many times as many are then expected by the next one.
-	risingTimes  = 1.2
-	risingGrowth = 2
-	// mostPrompts bounds the prompts of a plan.
-	mostPrompts = 16
-	// leastHot is how many requests in progress a prompt has at least to be in a plan.
-	leastHot = 3
+	// planTTL is how long a plan stays in force without being replaced. A plan for an outdated load
+	// is worse than none.
+	planTTL = 10 * time.Second
+	// promptWindow is the time over which the requests in progress of a prompt are averaged.
+	promptWindow = 750 * time.Millisecond
+	// risingThreshold is the ratio of requests for a prompt to those in the plan from which a new
+	// plan is computed at once. risingGrowthFactor is the growth expected until the plan after it.
+	risingThreshold    = 1.2
+	risingGrowthFactor = 2
+	// maxPlanPrompts bounds the prompts in a plan.
+	maxPlanPrompts = 16
+	// minHotRequests is the least number of requests in progress that puts a prompt into a plan.
+	minHotRequests = 3
 )
 
 // InProgress is how many requests are in progress, at one host or at several.
 type InProgress struct {
-	// Engines counts those at each engine, by the CountedHash of its start, Prompts those with
-	// each prompt, by PromptHash.
+	// Engines counts requests per engine, keyed by the lowest three bytes of the hash of its start.
+	// Prompts counts requests per prompt, keyed by PromptHash.
 	Engines map[uint32]int
 	Prompts map[uint32]int
 }
 
-// A Balancer holds the plan in force at one host, and draws it at the region's first one.
+// A Balancer holds one host's plan in force. On the region's first host it also computes new plans.
 type Balancer struct {
 	mu    sync.Mutex
 	loads *Loads
-	// engines returns the engines that take new work, by pool.
-	engines    func() map[string][]*traffic.Upstream
-	inProgress map[uint32]int
+	// listEngines returns the engines that take new requests, by pool.
+	listEngines func() map[string][]*traffic.Upstream
+	inProgress  map[uint32]int
 
-	plan   *Plan
-	planAt time.Time
-	// spread is the plan as far as its engines are known here.
-	spread *Spread
+	plan           *Plan
+	planComputedAt time.Time
+	// local is the plan resolved against the engines that this host knows.
+	local *LocalPlan
 
-	// multiple returns how many times the mean load an engine may carry.
-	multiple func() float64
-	// levels, ceilings (by pool), prompts and drawnAt are what plans are drawn from.
-	levels   map[uint32]*level
-	ceilings map[string]*ceiling
-	prompts  map[uint32]float64
-	drawnAt  time.Time
+	// loadMultiple returns how many times the mean load an engine may carry.
+	loadMultiple func() float64
+	// states, ceilings (by pool), prompts and lastComputedAt carry over from plan to plan.
+	states         map[uint32]*engineState
+	ceilings       map[string]*ceiling
+	prompts        map[uint32]float64
+	lastComputedAt time.Time
 }
 
-// NewBalancer returns a balancer without a plan; engines returns the engines that take new work,
-// by pool, and multiple how many times the mean load one may carry.
-func NewBalancer(loads *Loads, engines func() map[string][]*traffic.Upstream, multiple func() float64) *Balancer {
+// NewBalancer returns a balancer without a plan. listEngines returns the engines that take new
+// requests, by pool, and loadMultiple how many times the mean load an engine may carry.
+func NewBalancer(loads *Loads, listEngines func() map[string][]*traffic.Upstream, loadMultiple func() float64) *Balancer {
 	return &Balancer{
-		loads: loads, engines: engines, multiple: multiple, inProgress: map[uint32]int{}, ceilings: map[string]*ceiling{},
-		levels: map[uint32]*level{}, prompts: map[uint32]float64{},
+		loads: loads, listEngines: listEngines, loadMultiple: loadMultiple, inProgress: map[uint32]int{}, ceilings: map[string]*ceiling{},
+		states: map[uint32]*engineState{}, prompts: map[uint32]float64{},
 	}
 }
 
-// Begin counts a request with a prompt.
+// Begin counts a request with the given prompt key as in progress.
 func (b *Balancer) Begin(key uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.inProgress[PromptHash(key)]++
 }
 
-// End counts a request with a prompt no longer.
+// End counts a request with the given prompt key as ended.
 func (b *Balancer) End(key uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,120 +83,120 @@
 	}
 }
 
-// InProgress returns what is in progress at this host.
+// InProgress returns the requests in progress at this host.
 func (b *Balancer) InProgress() InProgress {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return InProgress{Engines: b.loads.InProgress(), Prompts: maps.Clone(b.inProgress)}
 }
 
-// Plan returns the plan in force and when it was drawn, nil if there is none.
+// Plan returns the plan in force and when it was computed, or nil if there is none.
 func (b *Balancer) Plan(now time.Time) (*Plan, time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.plan == nil || now.Sub(b.planAt) > planLifetime {
+	if b.plan == nil || now.Sub(b.planComputedAt) > planTTL {
 		return nil, time.Time{}
 	}
-	return b.plan, b.planAt
+	return b.plan, b.planComputedAt
 }
 
-// Take takes over a plan that was drawn elsewhere at a moment, if it is newer.
-func (b *Balancer) Take(p *Plan, at time.Time) {
-	engines := b.engines()
+// Take applies a plan that another host computed at the given time, if it is newer.
+func (b *Balancer) Take(p *Plan, computedAt time.Time) {
+	engines := b.listEngines()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.plan == nil || at.After(b.planAt) {
-		b.put(p, at, engines)
+	if b.plan == nil || computedAt.After(b.planComputedAt) {
+		b.install(p, computedAt, engines)
 	}
 }
 
-// Spread returns what requests are placed by, nil while nothing is known.
-func (b *Balancer) Spread(now time.Time) *Spread {
+// Spread returns the plan in force as this host applies it, or nil if there is none.
+func (b *Balancer) Spread(now time.Time) *LocalPlan {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.plan == nil || now.Sub(b.planAt) > planLifetime {
+	if b.plan == nil || now.Sub(b.planComputedAt) > planTTL {
 		return nil
 	}
-	return b.spread
+	return b.local
 }
 
-// put brings a plan into force; the lock must be held.
-func (b *Balancer) put(p *Plan, at time.Time, engines map[string][]*traffic.Upstream) {
-	spread := &Spread{drawnAt: at, weights: map[uint32]uint8{}, means: map[uint32]float64{}, sound: map[uint32]float64{}, prompts: map[uint32]float64{}}
+// install puts a plan into force. The caller must hold b.mu.
+func (b *Balancer) install(p *Plan, computedAt time.Time, engines map[string][]*traffic.Upstream) {
+	local := &LocalPlan{computedAt: computedAt, weights: map[uint32]uint8{}, means: map[uint32]float64{}, cappedMeanRatios: map[uint32]float64{}, prompts: map[uint32]float64{}}
 	pools := map[uint32][]*traffic.Upstream{}
 	for pool, list := range engines {
 		pools[PoolHash(pool)] = list
 	}
 	for _, pool := range p.Pools {
-		spread.means[pool.Pool] = pool.mean()
-		named, sum := pool.named(), 0.0
+		local.means[pool.Pool] = pool.mean()
+		listed, sum := pool.unpackEngines(), 0.0
 		for _, u := range pools[pool.Pool] {
-			e := pool.of(named, u)
+			e := pool.engine(listed, u)
 			sum += float64(e.load)
-			b.loads.plan(at, u, int(e.load))
-			if e.weight < fullWeight {
-				spread.weights[u.ShortHash()] = e.weight
+			b.loads.applyPlan(computedAt, u, int(e.load))
+			if e.weight < maxWeight {
+				local.weights[u.ShortHash()] = e.weight
 			}
 		}
 		if sum > 0 {
-			spread.sound[pool.Pool] = pool.mean() * float64(len(pools[pool.Pool])) / sum
+			local.cappedMeanRatios[pool.Pool] = pool.mean() * float64(len(pools[pool.Pool])) / sum
 		}
 	}
 	for _, prompt := range p.Prompts {
-		spread.prompts[prompt.Prompt] = float64(prompt.Requests)
+		local.prompts[prompt.Prompt] = float64(prompt.Requests)
 	}
-	b.plan, b.planAt, b.spread = p, at, spread
+	b.plan, b.planComputedAt, b.local = p, computedAt, local
 }
 
-// Draw draws a new plan from what is in progress at all hosts.
+// Draw computes a new plan from the requests in progress at all hosts and puts it into force.
 func (b *Balancer) Draw(now time.Time, all InProgress) {
-	engines := b.engines()
+	engines := b.listEngines()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.adopt(now)
+	b.resumeFromPlan(now)
 	var drafts []poolDraft
 	known := map[uint32]bool{}
 	for _, pool := range slices.Sorted(maps.Keys(engines)) {
 		list := engines[pool]
-		levels, mean := b.measure(now, list, all.Engines)
-		most := b.ceiling(now, pool, list, all.Engines, mean)
+		states, mean := b.updateStates(now, list, all.Engines)
+		maxLoad := b.ceiling(now, pool, list, all.Engines, mean)
 		draft := poolDraft{pool: PoolHash(pool), mean: mean}
-		for i, l := range levels {
+		for i, s := range states {
 			draft.engines = append(draft.engines, plannedEngine{
-				hash: list[i].ShortHash() & engineHashMask, load: uint8(min(math.Round(l.load), math.MaxUint8)), weight: uint8(l.weigh(now, mean, most)),
+				hash: list[i].ShortHash() & engineHashMask, load: uint8(min(math.Round(s.load), math.MaxUint8)), weight: uint8(s.updateWeight(now, mean, maxLoad)),
 			})
 			known[list[i].ShortHash()] = true
 		}
 		drafts = append(drafts, draft)
 	}
-	maps.DeleteFunc(b.levels, func(hash uint32, _ *level) bool { return !known[hash] })
-	b.put(planOf(drafts, b.hot(now, all.Prompts)), now, engines)
-	b.drawnAt = now
+	maps.DeleteFunc(b.states, func(hash uint32, _ *engineState) bool { return !known[hash] })
+	b.install(newPlan(drafts, b.hotPrompts(now, all.Prompts)), now, engines)
+	b.lastComputedAt = now
 }
 
-// Rising reports whether many more ask for a prompt than the plan in force says, by the requests
-// in progress of each prompt at all hosts: a plan that waits for its turn would let them
-// all go to one engine meanwhile.
+// Rising reports whether some prompt has many more requests in progress at all hosts than the plan
+// in force expects. Until the next regular plan all of them would go to one engine.
 func (b *Balancer) Rising(all InProgress) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.spread == nil {
+	if b.local == nil {
 		return false
 	}
 	for prompt, n := range all.Prompts {
-		if b.rises(float64(n), b.spread.prompts[prompt]) {
+		if b.isRising(float64(n), b.local.prompts[prompt]) {
 			return true
 		}
 	}
 	return false
 }
 
-// rises reports whether many more requests of a prompt are in progress than were; the lock must be held.
-func (b *Balancer) rises(now, before float64) bool {
-	return now > risingTimes*max(before, b.spread.leastMean(), leastHot)
+// isRising reports whether a prompt has many more requests than before. The caller must hold b.mu.
+func (b *Balancer) isRising(current, previous float64) bool {
+	return current > risingThreshold*max(previous, b.local.minMean(), minHotRequests)
 }
 
-// ceiling returns the load up to which the engines of a pool take all their prompts; the lock must be held.
+// ceiling returns the load up to which engines of a pool take all their prompts. The caller must
+// hold b.mu.
 func (b *Balancer) ceiling(now time.Time, pool string, engines []*traffic.Upstream, inProgress map[uint32]int, mean float64) float64 {
 	c, ok := b.ceilings[pool]
 	if !ok {
@@ -207,63 +207,66 @@
 	for i, u := range engines {
 		loads[i] = float64(inProgress[u.ShortHash()&CountedHash])
 	}
-	c.observe(loads, soundMean(loads), b.multiple(), now.Sub(b.drawnAt))
-	return c.at(mean)
+	c.observe(loads, cappedMean(loads), b.loadMultiple(), now.Sub(b.lastComputedAt))
+	return c.forMean(mean)
 }
 
-// adopt goes on from the plan of another host if this one has not drawn the last one; the lock must be held.
-func (b *Balancer) adopt(now time.Time) {
-	if b.drawnAt.Equal(b.planAt) || b.spread == nil || now.Sub(b.planAt) > planLifetime {
+// resumeFromPlan starts from the plan in force if another host computed it. The caller must hold
+// b.mu.
+func (b *Balancer) resumeFromPlan(now time.Time) {
+	if b.lastComputedAt.Equal(b.planComputedAt) || b.local == nil || now.Sub(b.planComputedAt) > planTTL {
 		return
 	}
-	clear(b.levels)
-	for hash, w := range b.spread.weights {
-		b.levels[hash] = &level{weight: float64(w), changedAt: now}
+	clear(b.states)
+	for hash, w := range b.local.weights {
+		b.states[hash] = &engineState{weight: float64(w), weightChangedAt: now}
 	}
-	maps.Copy(b.prompts, b.spread.prompts)
+	maps.Copy(b.prompts, b.local.prompts)
 }
 
-// measure brings the levels of a pool's engines up to date and returns them and the mean load; the lock must be held.
-func (b *Balancer) measure(now time.Time, engines []*traffic.Upstream, inProgress map[uint32]int) (levels []*level, mean float64) {
-	levels = make([]*level, len(engines))
+// updateStates updates the states of a pool's engines and returns them and the mean load. The
+// caller must hold b.mu.
+func (b *Balancer) updateStates(now time.Time, engines []*traffic.Upstream, inProgress map[uint32]int) (states []*engineState, mean float64) {
+	states = make([]*engineState, len(engines))
 	loads := make([]float64, len(engines))
 	for i, u := range engines {
-		l, ok := b.levels[u.ShortHash()]
+		s, ok := b.states[u.ShortHash()]
 		if !ok {
-			l = &level{weight: fullWeight}
-			b.levels[u.ShortHash()] = l
+			s = &engineState{weight: maxWeight}
+			b.states[u.ShortHash()] = s
 		}
-		l.take(float64(inProgress[u.ShortHash()&CountedHash]), now.Sub(b.drawnAt))
-		levels[i], loads[i] = l, l.load
+		s.observe(float64(inProgress[u.ShortHash()&CountedHash]), now.Sub(b.lastComputedAt))
+		states[i], loads[i] = s, s.load
 	}
-	return levels, soundMean(loads)
+	return states, cappedMean(loads)
 }
 
-// hot returns the prompts that many ask for; the lock must be held.
-func (b *Balancer) hot(now time.Time, inProgress map[uint32]int) []PromptLoad {
-	part := replaced(now.Sub(b.drawnAt), promptSmoothing)
+// hotPrompts updates the averages of all prompts and returns those with the most requests. The
+// caller must hold b.mu.
+func (b *Balancer) hotPrompts(now time.Time, inProgress map[uint32]int) []PromptLoad {
+	factor := smoothingFactor(now.Sub(b.lastComputedAt), promptWindow)
 	for prompt := range b.prompts {
-		b.prompts[prompt] *= 1 - part
+		b.prompts[prompt] *= 1 - factor
 		if b.prompts[prompt] < 1 {
 			delete(b.prompts, prompt)
 		}
 	}
 	for prompt, n := range inProgress {
-		if b.spread != nil && b.rises(float64(n), b.prompts[prompt]/(1-part)) {
-			// More will have come before the next plan is drawn.
-			b.prompts[prompt] = risingGrowth * float64(n)
+		if b.local != nil && b.isRising(float64(n), b.prompts[prompt]/(1-factor)) {
+			// More requests will arrive before the next plan is computed.
+			b.prompts[prompt] = risingGrowthFactor * float64(n)
 			continue
 		}
-		b.prompts[prompt] += float64(n) * part
+		b.prompts[prompt] += float64(n) * factor
 	}
 	var hot []PromptLoad
 	for prompt, n := range b.prompts {
-		if n >= leastHot {
+		if n >= minHotRequests {
 			hot = append(hot, PromptLoad{Prompt: prompt, Requests: uint16(min(n, math.MaxUint16))})
 		}
 	}
 	slices.SortFunc(hot, func(x, y PromptLoad) int {
 		return cmp.Or(cmp.Compare(y.Requests, x.Requests), cmp.Compare(x.Prompt, y.Prompt))
 	})
-	return hot[:min(len(hot), mostPrompts)]
+	return hot[:min(len(hot), maxPlanPrompts)]
 }
--- a/jackdawd/internal/placement/ceiling.go
+++ b/jackdawd/internal/placement/ceiling.go
@@ -6,53 +6,54 @@
 )
 
 const (
-	// firstRoom is how far above the mean a ceiling is at first, in standard deviations of loads that
-	// are as even as chance lets them be; leastRoom and mostRoom bound it.
-	firstRoom = 0.6
-	leastRoom = 0.2
-	mostRoom  = 2.5
-	// tightenFrom is the share of requests at engines above the bound on loads from which a
-	// ceiling comes down, a sixth of what may be there; loosenBelow that below which it rises.
-	tightenFrom = 0.006
-	loosenBelow = 0.001
-	// tightenStep and loosenStep are by how much it changes with a plan.
+	// initialHeadroom is how far above the mean load a new ceiling is, in standard deviations of
+	// randomly distributed loads; minHeadroom and maxHeadroom bound it.
+	initialHeadroom = 0.6
+	minHeadroom     = 0.2
+	maxHeadroom     = 2.5
+	// tightenThreshold is the ratio of requests on engines above the load bound from which a
+	// ceiling is lowered, a sixth of the allowed ratio. Below loosenThreshold it is raised.
+	tightenThreshold = 0.006
+	loosenThreshold  = 0.001
+	// tightenStep and loosenStep are the changes of the headroom per plan.
 	tightenStep = 0.2
 	loosenStep  = 0.02
-	// overSmoothing is the time over which that share is averaged.
-	overSmoothing = 3 * time.Second
-	// boundedSlack is how many requests above a multiple of the mean an engine may have: one
-	// less than operators allow, as more come while a plan is on its way.
-	boundedSlack = 2
+	// excessWindow is the time over which that ratio is averaged.
+	excessWindow = 3 * time.Second
+	// excessSlack is how many requests above the load multiple an engine may have. It is one less
+	// than operators allow, as more requests arrive while a plan is being distributed.
+	excessSlack = 2
 )
 
-// ceiling is the load up to which the engines of a pool take all their prompts. Moving prompts
-// away from loaded engines costs reading them elsewhere, so it comes down only as far as the
-// bound on loads asks for: in a fleet of eight hosts, each of which sees much of the load
-// itself, it goes up until prompts stay where they are.
+// ceiling is the load up to which engines of a pool take all their prompts. Moving prompts away
+// from loaded engines means computing them elsewhere, so the ceiling is only as low as the load
+// bound requires. In a fleet of eight hosts, where each sees much of the load itself, it rises
+// until prompts stay where they are.
 type ceiling struct {
-	room float64
-	over float64
+	headroom    float64
+	excessRatio float64
 }
 
-func newCeiling() *ceiling { return &ceiling{room: firstRoom} }
+func newCeiling() *ceiling { return &ceiling{headroom: initialHeadroom} }
 
-// observe takes in the loads of the pool's engines, some time after the last ones.
-func (c *ceiling) observe(loads []float64, mean, multiple float64, after time.Duration) {
-	over, all := 0.0, 0.0
+// observe adjusts the headroom by the current loads of the pool's engines. elapsed is the time
+// since the previous call.
+func (c *ceiling) observe(loads []float64, mean, loadMultiple float64, elapsed time.Duration) {
+	excess, total := 0.0, 0.0
 	for _, load := range loads {
-		all += load
-		if load > multiple*mean+boundedSlack {
-			over += load
+		total += load
+		if load > loadMultiple*mean+excessSlack {
+			excess += load
 		}
 	}
-	c.over += (over/max(all, 1) - c.over) * replaced(after, overSmoothing)
+	c.excessRatio += (excess/max(total, 1) - c.excessRatio) * smoothingFactor(elapsed, excessWindow)
 	switch {
-	case c.over > tightenFrom:
-		c.room = max(c.room-tightenStep, leastRoom)
-	case c.over < loosenBelow:
-		c.room = min(c.room+loosenStep, mostRoom)
+	case c.excessRatio > tightenThreshold:
+		c.headroom = max(c.headroom-tightenStep, minHeadroom)
+	case c.excessRatio < loosenThreshold:
+		c.headroom = min(c.headroom+loosenStep, maxHeadroom)
 	}
 }
 
-// at returns the ceiling for a mean load.
-func (c *ceiling) at(mean float64) float64 { return mean + c.room*math.Sqrt(mean) + 1 }
+// forMean returns the ceiling for a mean load.
+func (c *ceiling) forMean(mean float64) float64 { return mean + c.headroom*math.Sqrt(mean) + 1 }
--- a/jackdawd/internal/placement/choose.go
+++ b/jackdawd/internal/placement/choose.go
@@ -11,49 +11,53 @@
 )
 
 const (
-	// fewHosts is up to how many hosts each sees enough of all requests itself.
-	fewHosts = 8
-	// outpacedReplicas is how many more engines a prompt has in a large fleet while what hosts tell each other is
-	// outpaced: with four, loads differ by half as much.
-	outpacedReplicas = 3
-	// longPrompt is from how many tokens a prompt is too long for that: it would hold up the crowd at each of them.
-	longPrompt = 8000
+	// smallFleetHosts is the fleet size up to which each host sees enough of all requests itself.
+	smallFleetHosts = 8
+	// maxExtraReplicas is how many additional engines serve a prompt in a large fleet while load
+	// reports lag behind the requests. With four engines, loads differ by half as much.
+	maxExtraReplicas = 3
+	// longPromptTokens is the length from which a prompt gets no additional engines, as computing it
+	// would hold up the queued requests on each of them.
+	longPromptTokens = 8000
 )
 
-// A Choice is what a request is placed by.
+// A Choice holds the inputs for placing one request.
 type Choice struct {
-	// Upstreams are those that may take the request, and Loads what is known of each one's requests.
+	// Upstreams are the candidates, and Loads what is known of the load of each.
 	Upstreams []*traffic.Upstream
 	Loads     []Load
-	// Lifetime is how long requests in progress usually last.
+	// Lifetime is the mean duration of the requests in progress, which is longer than that of all
+	// requests.
 	Lifetime time.Duration
-	// Delay returns how long the request would wait at an upstream, and Patience is how long it
-	// may; an upstream where it would wait longer is full. It is asked of few, and nil if no
-	// upstream is ever full.
-	Delay    func(*traffic.Upstream) time.Duration
+	// Delay returns how long the request would wait at an upstream. It is called for few upstreams,
+	// and nil if no upstream is ever full.
+	Delay func(*traffic.Upstream) time.Duration
+	// Patience is how long the request may wait. An upstream with a longer delay is full.
 	Patience time.Duration
-	// Stuck reports whether several of this host's requests wait at an upstream for longer
-	// than answers take to begin; nil if none ever is.
+	// Stuck reports whether several of this host's requests have waited at an upstream for longer
+	// than responses take to begin. It is nil if none ever do.
 	Stuck func(*traffic.Upstream) bool
-	// Key is the hash of the prompt that the request shares with others; Cached is set if it has one.
-	Key    uint64
+	// Key is the hash of the prompt that the request shares with others.
+	Key uint64
+	// Cached is set if the request has such a prompt, which engines can cache.
 	Cached bool
-	// SharedTokens is how long that prompt is, and Duration how long such requests usually take; 0 if that is not known.
+	// SharedTokens is the length of that prompt; 0 if not known.
 	SharedTokens int
-	Duration     time.Duration
-	// FailureDomain is this host's own.
+	// Duration is the mean duration of requests of this class; 0 if not known.
+	Duration time.Duration
+	// FailureDomain is this host's failure domain.
 	FailureDomain string
-	// Hosts is how many hosts place requests; 0 if that is not known.
+	// Hosts is how many hosts place requests; 0 if not known.
 	Hosts int
 	// Multiple is how many times the mean load an upstream may carry.
 	Multiple float64
-	// Tie orders upstreams that are equally good.
+	// Tie is a random number of the request, used to choose between equally good upstreams.
 	Tie uint64
-	// Spread is how prompts are spread over engines; nil if this is not known.
-	Spread *Spread
-	// Pool is the pool of the upstreams.
+	// Spread is the plan in force; nil if there is none.
+	Spread *LocalPlan
+	// Pool is the name of the upstreams' pool.
 	Pool string
-	// Outpaced is set if requests come or end faster than hosts can tell each other of them.
+	// Outpaced is set if requests arrive or end faster than hosts can report them to each other.
 	Outpaced bool
 }
 
@@ -63,66 +67,65 @@
 		return nil
 	}
 	if c.Cached {
-		return c.warmest()
+		return c.chooseByAffinity()
 	}
-	return c.lightest()
+	return c.chooseByLoad()
 }
 
-// warmest returns the upstream for a request with a prompt: the first in the prompt's own
-// order that accepts it, or the second one if the request can begin in
-// time there only. Every host has the same order, so that without overload all requests
-// of a prompt meet at one engine.
+// chooseByAffinity returns the upstream for a request with a shared prompt: the first in the
+// prompt's rendezvous order that accepts it, or the second if the request can begin in time only
+// there. All hosts use the same order, so without overload all requests of a prompt share one
+// engine and its cache.
 //
-// While engines are full each place that becomes free is anywhere. A prompt that follows
-// them is read at each engine again, which then has less time for answers: in a surge of
-// twelve times the usual engines read three times as many parts of prompts again as with
-// one place for a prompt.
-func (c Choice) warmest() *traffic.Upstream {
-	first, second := c.firstTwo()
+// There is no third choice. While engines are full, slots become free on any of them, and a prompt
+// that followed the free slots would be computed again on each, which leaves less time for
+// responses. In a surge of twelve times the usual load, engines then recomputed three times as many
+// prompt parts as with one engine per prompt.
+func (c Choice) chooseByAffinity() *traffic.Upstream {
+	first, second := c.firstTwoEngines()
 	switch {
 	case first < 0:
-		return c.lightest()
-	case second >= 0 && c.stuck(first) && !c.stuck(second):
+		return c.chooseByLoad()
+	case second >= 0 && c.isStuck(first) && !c.isStuck(second):
 		return c.Upstreams[second]
-	case second >= 0 && c.Loads[second].Requests() < unevenShare*c.Loads[first].Requests() && c.Full(c.Upstreams[first]) && !c.Full(c.Upstreams[second]):
+	case second >= 0 && c.Loads[second].Requests() < maxTakeoverRatio*c.Loads[first].Requests() && c.Full(c.Upstreams[first]) && !c.Full(c.Upstreams[second]):
 		return c.Upstreams[second]
 	}
 	return c.Upstreams[first]
 }
 
-// firstTwo returns the indexes of the upstream that a prompt goes to and of the one that is
-// next, -1 for none: of as many engines as the prompt has, the first in its order that take
-// and accept it, one by the request's own hash.
-func (c Choice) firstTwo() (first, second int) {
+// firstTwoEngines returns the indexes of the upstream that serves the prompt and of its fallback,
+// -1 for none. A prompt with several replicas uses one of them by the request's random number.
+func (c Choice) firstTwoEngines() (first, second int) {
 	replicas := c.replicas()
-	order := c.order(max(replicas, 2), replicas > 1)
-	switch len(order) {
+	candidates := c.candidates(max(replicas, 2), replicas > 1)
+	switch len(candidates) {
 	case 0:
 		return -1, -1
 	case 1:
-		return order[0], -1
+		return candidates[0], -1
 	}
-	n := int(c.Tie % uint64(min(replicas, len(order))))
-	return order[n], order[(n+1)%len(order)]
+	n := int(c.Tie % uint64(min(replicas, len(candidates))))
+	return candidates[n], candidates[(n+1)%len(candidates)]
 }
 
-// order returns the indexes of the first upstreams in the prompt's own order that take
-// and accept it, most at the most. All take it if none else does, or if it
-// is hot: it would else go to and fro as a whole when a weight changes that it is the cause of.
-func (c Choice) order(most int, hot bool) []int {
+// candidates returns the indexes of the first n upstreams in the prompt's rendezvous order whose
+// weight and load allow the prompt. Weights are ignored if they exclude all upstreams, or if the
+// prompt is hot: it causes the weights to change, and would move back and forth as a whole.
+func (c Choice) candidates(n int, hot bool) []int {
 	limit := c.Limit()
-	order, scores := make([]int, 0, most), make([]uint64, 0, most)
-	spread := c.Spread
+	order, scores := make([]int, 0, n), make([]uint64, 0, n)
+	plan := c.Spread
 	if hot {
-		spread = nil
+		plan = nil
 	}
 	for {
 		for i, u := range c.Upstreams {
 			score := routing.Score(c.Key, u.Hash)
-			if (len(order) == most && score <= scores[most-1]) || !spread.takes(score, u, c.expense()) || !c.accepts(limit, i) {
+			if (len(order) == n && score <= scores[n-1]) || !plan.takes(score, u, c.prefillCost()) || !c.accepts(limit, i) {
 				continue
 			}
-			if len(order) < most {
+			if len(order) < n {
 				order, scores = append(order, 0), append(scores, 0)
 			}
 			at := len(order) - 1
@@ -131,56 +134,57 @@
 			}
 			order[at], scores[at] = i, score
 		}
-		if len(order) > 0 || spread == nil {
+		if len(order) > 0 || plan == nil {
 			return order
 		}
-		spread = nil
+		plan = nil
 	}
 }
 
-// replicas returns at how many engines the prompt's requests are served. What is told of loads is no guide while it is
-// outpaced; all prompts but long ones are then spread over more engines, which evens loads out without it.
+// replicas returns how many engines serve the prompt. While load reports lag behind the requests
+// they can't balance the load; all but long prompts are then spread over more engines, which evens
+// out the load without reports.
 func (c Choice) replicas() int {
 	replicas := c.Spread.replicas(c.Key, c.Pool)
 	if !c.Outpaced {
 		return replicas
 	}
-	return max(replicas, 1+int(math.Round(outpacedReplicas*c.distance()*(1-c.length()))))
+	return max(replicas, 1+int(math.Round(maxExtraReplicas*c.unseenRatio()*(1-c.lengthRatio()))))
 }
 
-// length says how long the prompt is, from 0 to 1.
-func (c Choice) length() float64 { return min(float64(c.SharedTokens)/longPrompt, 1) }
+// lengthRatio returns how long the prompt is, from 0 to 1 for longPromptTokens and more.
+func (c Choice) lengthRatio() float64 { return min(float64(c.SharedTokens)/longPromptTokens, 1) }
 
-// distance says how little the host sees of all requests by itself: 0 in a small fleet, up to 1.
-func (c Choice) distance() float64 {
+// unseenRatio returns how few of all requests the host sees itself, from 0 in a small fleet to 1.
+func (c Choice) unseenRatio() float64 {
 	if c.Hosts == 0 {
 		return 1
 	}
-	return 1 - min(1, float64(fewHosts)/float64(c.Hosts))
+	return 1 - min(1, float64(smallFleetHosts)/float64(c.Hosts))
 }
 
-// stuck reports whether requests of this host wait at an upstream. It is the first sign of
-// a crowd there: what the upstream tells comes with answers, of which there are none then.
-func (c Choice) stuck(i int) bool { return c.Stuck != nil && c.Stuck(c.Upstreams[i]) }
+// isStuck reports whether requests of this host wait at an upstream for too long. It is the first
+// sign of a queue there, as load reports come with responses and a stuck upstream sends none.
+func (c Choice) isStuck(i int) bool { return c.Stuck != nil && c.Stuck(c.Upstreams[i]) }
 
-// unevenShare is the part of the load of a prompt's first engine that the second may have
-// to take the prompt over.
-const unevenShare = 0.5
+// maxTakeoverRatio is the ratio of the second engine's load to the first one's below which the
+// second may take the prompt over.
+const maxTakeoverRatio = 0.5
 
 // Full reports whether the request would wait for too long at an upstream.
 func (c Choice) Full(u *traffic.Upstream) bool { return c.Delay != nil && c.Delay(u) > c.Patience }
 
-// Rank returns upstreams in a prompt's own order, the one where it is usually cached first.
+// Rank returns upstreams in a prompt's rendezvous order. The prompt is usually cached at the first.
 func Rank(key uint64, upstreams []*traffic.Upstream) []*traffic.Upstream {
 	out := make([]*traffic.Upstream, len(upstreams))
-	for n, i := range rank(key, upstreams) {
+	for n, i := range rankIndexes(key, upstreams) {
 		out[n] = upstreams[i]
 	}
 	return out
 }
 
-// rank returns the indexes of upstreams in a prompt's own order, by rendezvous hashing.
-func rank(key uint64, upstreams []*traffic.Upstream) []int {
+// rankIndexes returns the indexes of upstreams in a prompt's order, by rendezvous hashing.
+func rankIndexes(key uint64, upstreams []*traffic.Upstream) []int {
 	order := make([]int, len(upstreams))
 	scores := make([]uint64, len(upstreams))
 	for i, u := range upstreams {
@@ -190,8 +194,9 @@
 	return order
 }
 
-// Mean returns the mean load of the upstreams. While plans tell of all of them, each counts by its newest news;
-// without a plan upstreams that the host knows nothing of count as idle.
+// Mean returns the mean load of the upstreams. With a plan, which covers all upstreams, each counts
+// with its newest report, however old. Without a plan, reports lose weight with age and upstreams
+// that the host knows nothing about count as idle.
 func (c Choice) Mean() float64 {
 	sum, n := 0.0, float64(max(len(c.Loads), 1))
 	if c.Spread == nil {
@@ -203,5 +208,5 @@
 	for _, l := range c.Loads {
 		sum += l.Own + l.Others
 	}
-	return sum / n * c.Spread.soundPart(c.Pool)
+	return sum / n * c.Spread.cappedMeanRatio(c.Pool)
 }
--- a/jackdawd/internal/placement/loads.go
+++ b/jackdawd/internal/placement/loads.go
@@ -7,101 +7,103 @@
 	"jackdawhinge/common/traffic"
 )
 
-// growthDoubt is how many requests more at an upstream make it as likely that a crowd comes as that
-// these came by chance.
-const growthDoubt = 4
+// growthHalfPoint is the growth of this host's own requests at an upstream at which growth at other
+// hosts is as likely as random variation.
+const growthHalfPoint = 4
 
-// toldLifetime is how long what an upstream told of its load says something of
-// other hosts' requests: about the time that an answer takes.
-const toldLifetime = 2 * time.Second
+// reportTTL is how long a reported load is used to estimate other hosts' requests: about the
+// duration of a response.
+const reportTTL = 2 * time.Second
 
-// planLag is how old what a plan says is when it is drawn: hosts tell what they have just after
-// they heard of the plan before. What an upstream told since then is newer.
+// planLag is the age of a plan's loads when the plan is computed, as hosts send their counts right
+// after receiving the previous plan. Reports of upstreams since then are newer.
 const planLag = 400 * time.Millisecond
 
-// Loads holds how many requests each upstream works on, as far as this host knows.
+// Loads tracks how many requests each upstream has, as far as this host knows.
 type Loads struct {
 	mu     sync.Mutex
-	byHash map[uint32]*load
+	byHash map[uint32]*upstreamLoad
 }
 
-// load is one upstream's: this host's own requests, what it told last, and what it has by the plan in force.
-type load struct {
-	own     int
-	told    report
-	planned report
-	usedAt  time.Time
+// upstreamLoad is the load of one upstream: this host's own requests, the load that the upstream
+// last reported, and its load by the plan in force.
+type upstreamLoad struct {
+	own        int
+	reported   report
+	planned    report
+	lastUsedAt time.Time
 }
 
-// report is what an upstream had at a moment.
+// report is an upstream's load at one time.
 type report struct {
 	requests int
 	waiting  int
 	at       time.Time
-	// own is how many requests this host had there then, others how many all others had.
+	// own and others are the requests of this host and of all other hosts at that time.
 	own    int
 	others float64
 }
 
-// newest returns what is known of the upstream last.
-func (l *load) newest() report {
-	if l.planned.at.After(l.told.at) {
+// newest returns the newest report of the upstream.
+func (l *upstreamLoad) newest() report {
+	if l.planned.at.After(l.reported.at) {
 		return l.planned
 	}
-	return l.told
+	return l.reported
 }
 
-// left returns how much of what was told still holds: after an answer's time those requests
-// have ended, and without fading an upstream that was once full would never be tried again.
-func (r report) left(now time.Time) float64 {
-	return remembered(now.Sub(r.at))
+// weight returns the weight that the report still has. Its requests end in about the duration of a
+// response, and without decay an upstream that was once full would never be tried again.
+func (r report) weight(now time.Time) float64 {
+	return reportWeight(now.Sub(r.at))
 }
 
-// NewLoads returns loads of nothing.
+// NewLoads returns an empty tracker.
 func NewLoads() *Loads {
-	return &Loads{byHash: map[uint32]*load{}}
+	return &Loads{byHash: map[uint32]*upstreamLoad{}}
 }
 
-// Begin counts a request of this host.
+// Begin counts a request of this host as in progress at an upstream.
 func (l *Loads) Begin(now time.Time, u *traffic.Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entry(now, u.ShortHash()).own++
 }
 
-// End counts a request of this host no longer.
+// End counts a request of this host at an upstream as ended.
 func (l *Loads) End(now time.Time, u *traffic.Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entry(now, u.ShortHash()).own--
 }
 
-// Told takes in what an upstream said in an answer to this host.
-func (l *Loads) Told(now time.Time, u *traffic.Upstream, told traffic.Load) {
+// Told records the load that an upstream reported in a response to this host.
+func (l *Loads) Told(now time.Time, u *traffic.Upstream, reported traffic.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(now, u.ShortHash())
-	e.told = e.report(now, told.Running+told.Waiting, told.Waiting)
+	e.reported = e.newReport(now, reported.Running+reported.Waiting, reported.Waiting)
 }
 
-// report returns what an upstream has at a moment beside this host's own requests there.
-func (l *load) report(at time.Time, requests, waiting int) report {
+// newReport returns a report of an upstream's requests, split into this host's own and others.
+func (l *upstreamLoad) newReport(at time.Time, requests, waiting int) report {
 	return report{requests: requests, waiting: waiting, at: at, own: l.own, others: max(0, float64(requests-l.own))}
 }
 
-// plan takes in how many requests an upstream has by a plan that was drawn at a moment.
-func (l *Loads) plan(at time.Time, u *traffic.Upstream, requests int) {
+// applyPlan records an upstream's load from a plan that was computed at the given time.
+func (l *Loads) applyPlan(computedAt time.Time, u *traffic.Upstream, requests int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	waiting := 0
 	if u.Slots > 0 {
 		waiting = max(requests-u.Slots, 0)
 	}
-	e := l.entry(at, u.ShortHash())
-	e.planned = e.report(at.Add(-planLag), requests, waiting)
+	e := l.entry(computedAt, u.ShortHash())
+	e.planned = e.newReport(computedAt.Add(-planLag), requests, waiting)
 }
 
-// InProgress returns how many requests of this host each upstream has, by the CountedHash of its start.
+// InProgress returns the number of this host's requests at each upstream, keyed by the lowest three
+// bytes of the hash of its start.
 func (l *Loads) InProgress() map[uint32]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,8 +116,8 @@
 	return requests
 }
 
-// Own returns how many requests of this host an upstream has.
-func (l *Loads) Own(u *traffic.Upstream) int {
+// OwnRequests returns the number of this host's requests at an upstream.
+func (l *Loads) OwnRequests(u *traffic.Upstream) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e, ok := l.byHash[u.ShortHash()]; ok {
@@ -124,30 +126,30 @@
 	return 0
 }
 
-// Estimate returns how many requests an upstream is thought to have.
+// Estimate returns the estimated number of requests of all hosts at an upstream.
 func (l *Loads) Estimate(now time.Time, u *traffic.Upstream) float64 {
 	return l.Known(now, u).Requests()
 }
 
-// Known returns what is known of an upstream.
+// Known returns the load of an upstream as far as this host knows it.
 func (l *Loads) Known(now time.Time, u *traffic.Upstream) Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known(now, u)
+	return l.load(now, u)
 }
 
-// All returns what is known of several upstreams.
+// All returns the loads of several upstreams, in the same order.
 func (l *Loads) All(now time.Time, upstreams []*traffic.Upstream) []Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]Load, len(upstreams))
 	for i, u := range upstreams {
-		out[i] = l.known(now, u)
+		out[i] = l.load(now, u)
 	}
 	return out
 }
 
-func (l *Loads) known(now time.Time, u *traffic.Upstream) Load {
+func (l *Loads) load(now time.Time, u *traffic.Upstream) Load {
 	e, ok := l.byHash[u.ShortHash()]
 	if !ok {
 		return Load{}
@@ -156,69 +158,70 @@
 	return Load{Own: float64(e.own), Others: r.others, Age: now.Sub(r.at)}
 }
 
-// A Backlog is what an upstream has to do before it begins with the next request.
+// A Backlog is the work that an upstream has before it can begin the next request.
 type Backlog struct {
-	// Running is how many requests it works on, Waiting how many it has not begun.
+	// Running is the number of requests that it works on, Waiting of those not yet begun.
 	Running float64
 	Waiting float64
-	// Crowded is set if requests waited there when it told last, however long ago.
-	Crowded bool
+	// HadQueue is set if requests waited at the time of the newest report, however old that is.
+	HadQueue bool
 }
 
-// Backlog returns the backlog of an upstream as far as this host knows.
+// Backlog returns the backlog of an upstream as far as this host knows it.
 func (l *Loads) Backlog(now time.Time, u *traffic.Upstream) Backlog {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.backlog(now, u)
 }
 
-// backlog returns what the upstream told last, with this host's requests that have come and ended since.
+// backlog returns the newest report, adjusted by this host's requests that have begun and ended
+// since then.
 func (l *Loads) backlog(now time.Time, u *traffic.Upstream) Backlog {
 	e, ok := l.byHash[u.ShortHash()]
 	if !ok {
 		return Backlog{}
 	}
 	r := e.newest()
-	left := r.left(now)
-	if left == 0 {
-		return Backlog{Running: float64(e.own), Crowded: r.waiting > 0}
+	weight := r.weight(now)
+	if weight == 0 {
+		return Backlog{Running: float64(e.own), HadQueue: r.waiting > 0}
 	}
 	running := float64(r.requests - r.waiting)
-	since := float64(e.own - r.own)
-	if since > 0 {
-		// If more comes than goes, others have sent as much for their part; one request
-		// hardly shows that, several do.
-		others := max(float64(r.requests)/float64(max(r.own, 1))-1, 0)
-		since *= 1 + others*since/(since+growthDoubt)
+	growth := float64(e.own - r.own)
+	if growth > 0 {
+		// If this host's requests grow, those of others are assumed to grow in proportion. One
+		// additional request is weak evidence for that, several are strong.
+		othersPerOwn := max(float64(r.requests)/float64(max(r.own, 1))-1, 0)
+		growth *= 1 + othersPerOwn*growth/(growth+growthHalfPoint)
 	}
-	waiting := float64(r.waiting)*left + since
+	waiting := float64(r.waiting)*weight + growth
 	if r.waiting == 0 {
-		// What came since found a place, as long as there are places.
-		waiting = min(waiting, running+since-float64(u.Slots))
+		// Requests since then occupied free slots, as long as there were any.
+		waiting = min(waiting, running+growth-float64(u.Slots))
 	}
-	return Backlog{Running: running, Waiting: max(waiting, 0), Crowded: r.waiting > 0}
+	return Backlog{Running: running, Waiting: max(waiting, 0), HadQueue: r.waiting > 0}
 }
 
-// Forget drops what is known of upstreams that were not used for a while.
+// Forget drops upstreams that have no requests of this host and were not used for a minute.
 func (l *Loads) Forget(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for hash, e := range l.byHash {
-		if e.own == 0 && now.Sub(e.usedAt) > unusedLifetime {
+		if e.own == 0 && now.Sub(e.lastUsedAt) > unusedTTL {
 			delete(l.byHash, hash)
 		}
 	}
 }
 
-// unusedLifetime is how long an upstream that gets no requests is remembered.
-const unusedLifetime = time.Minute
+// unusedTTL is how long an upstream without requests is kept.
+const unusedTTL = time.Minute
 
-func (l *Loads) entry(now time.Time, hash uint32) *load {
+func (l *Loads) entry(now time.Time, hash uint32) *upstreamLoad {
 	e, ok := l.byHash[hash]
 	if !ok {
-		e = &load{}
+		e = &upstreamLoad{}
 		l.byHash[hash] = e
 	}
-	e.usedAt = now
+	e.lastUsedAt = now
 	return e
 }
--- a/jackdawd/internal/placement/plan.go
+++ b/jackdawd/internal/placement/plan.go
@@ -9,86 +9,87 @@
 	"jackdawhinge/common/traffic"
 )
 
-// A Plan says how prompts are spread over the engines of a region, as hosts tell it to each
-// other: which engines have more than the usual load or take less than all of the prompts that
-// come to them first, and which prompts need several engines. The region's first host draws it
-// from what all hosts know, and all hosts place by it.
+// A Plan distributes prompts over the engines of a region. It lists the engines that have more than
+// the usual load or take less than all of the prompts that rank them first, and the prompts that
+// need several engines. The region's first host computes it from the requests in progress at all
+// hosts, and all hosts place requests by it.
 //
-// A host of a large fleet sees too little of the requests to keep the bound on loads by itself;
+// A host of a large fleet sees too few of the requests to keep the load bound by itself;
 // BenchmarkRequestsOverTheMultiple compares both.
 //
-// A plan names few engines, by hashes: hosts may have other lists of engines, and a plan that named
-// all would be too large to be told twice a second.
+// A plan lists few engines, by hash: hosts may know different sets of engines, and a plan with all
+// of them would be too large to send twice a second.
 type Plan struct {
 	Pools   []PoolPlan
 	Prompts []PromptLoad
 }
 
-// A PoolPlan is the part of a plan that is about one pool.
+// A PoolPlan is the part of a plan for one pool.
 type PoolPlan struct {
 	// Pool is the pool's PoolHash.
 	Pool uint32
 	// Mean is the mean load of the pool's engines, in tenths of a request.
 	Mean uint16
-	// Usual is how many requests each engine has that is not named.
+	// Usual is the number of requests of each engine that is not listed.
 	Usual uint8
-	// Engines are those named, packed: four bytes each.
+	// Engines holds the listed engines, packed into four bytes each.
 	Engines []byte
 }
 
-// A PromptLoad is how many requests with one prompt are in progress.
+// A PromptLoad is the number of requests in progress with one prompt.
 type PromptLoad struct {
 	// Prompt is the prompt's PromptHash.
 	Prompt   uint32
 	Requests uint16
 }
 
-// plannedEngine is what a plan says of one engine.
+// plannedEngine is one engine's entry in a plan.
 type plannedEngine struct {
-	// hash has the lowest bits of the hash of the engine's start.
+	// hash holds the lowest bits of the hash of the engine's start.
 	hash uint32
 	load uint8
-	// weight is the part of its prompts that the engine takes, of fullWeight.
+	// weight is the part of its prompts that the engine takes, in units of 1/maxWeight.
 	weight uint8
 }
 
 const (
-	// fullWeight is the weight of an engine that takes all prompts that belong to it.
-	fullWeight = math.MaxUint8
-	// weightStep is the least difference of weights that a plan tells.
-	weightStep = fullWeight / weightMask
+	// maxWeight is the weight of an engine that takes all prompts that rank it first.
+	maxWeight = math.MaxUint8
+	// weightStep is the resolution of weights in a plan.
+	weightStep = maxWeight / weightMask
 	weightBits = 4
 	weightMask = 1<<weightBits - 1
 	loadBits   = 8
-	// engineHashMask takes the bits of an engine's hash that are left of its four bytes. Of 90
-	// engines two share them in one of 260 fleets; of 880 two pairs do in most, and count as one.
+	// engineHashMask selects the bits of an engine's hash that fit into its four bytes. Of 90
+	// engines, two have the same bits in one of 260 fleets; of 880, two pairs do in most fleets.
+	// Such engines count as one.
 	engineHashMask = 1<<(32-weightBits-loadBits) - 1
 	engineBytes    = 4
 
-	// MostPlanBytes is how large a plan may be, for a host to tell two followers each one of two
-	// a second within 700 bytes a second.
+	// MostPlanBytes is the maximum size of a plan. It lets a host send two plans a second, each to
+	// two followers, within 700 bytes a second.
 	MostPlanBytes = 172
-	// poolBytes and promptBytes are what a pool without engines and a prompt take.
+	// poolBytes and promptBytes are the sizes of a pool without engines and of a prompt.
 	poolBytes   = 7
 	promptBytes = 6
-	// leastNamed is how many engines a plan names at least, if that makes it larger than it may
-	// be: with a pool for each of many models. It is then told less often.
-	leastNamed = 16
-	// leastImportance is how important an engine is at least to be named: a tenth of
-	// its prompts or of the mean load is less than what changes until the next plan.
-	leastImportance = 0.1
-	// meanUnit is the unit of means in a plan.
+	// minListedEngines is the number of engines that a plan may list even if it then exceeds its
+	// maximum size, as with one pool for each of many models. Such a plan is sent less often.
+	minListedEngines = 16
+	// minImportance is the least importance for which an engine is listed. Less than a tenth of its
+	// prompts or of the mean load changes anyway until the next plan.
+	minImportance = 0.1
+	// meanUnit is the unit of mean loads in a plan, in requests.
 	meanUnit = 0.1
 )
 
-// importance returns how far a host that knows nothing of the engine would be wrong, of which
-// the pool's mean load is given: by the prompts that it does not take, and the requests above the mean.
+// importance returns the error that a host makes if the plan doesn't list the engine: the part of
+// its prompts that it does not take, plus its requests above the pool's mean load.
 func (e plannedEngine) importance(mean float64) float64 {
-	notTaken := 1 - float64(e.weight)/fullWeight
+	notTaken := 1 - float64(e.weight)/maxWeight
 	return notTaken + max(float64(e.load)-mean, 0)/(mean+1)
 }
 
-// packEngines packs engines as a plan tells them.
+// packEngines encodes engines for a plan.
 func packEngines(engines []plannedEngine) []byte {
 	var packed []byte
 	for _, e := range engines {
@@ -98,110 +99,110 @@
 	return packed
 }
 
-// named returns the engines that the plan names, by the lowest bits of the hashes of their
-// starts; a cut one at the end is left out.
-func (p PoolPlan) named() map[uint32]plannedEngine {
-	named := map[uint32]plannedEngine{}
+// unpackEngines returns the engines that the plan lists, by the lowest bits of the hashes of their
+// starts. A truncated entry at the end is ignored.
+func (p PoolPlan) unpackEngines() map[uint32]plannedEngine {
+	engines := map[uint32]plannedEngine{}
 	for packed := p.Engines; len(packed) >= engineBytes; packed = packed[engineBytes:] {
-		all := binary.LittleEndian.Uint32(packed)
-		e := plannedEngine{hash: all >> (weightBits + loadBits), load: uint8(all), weight: uint8(all >> loadBits & weightMask * weightStep)}
-		named[e.hash] = e
+		entry := binary.LittleEndian.Uint32(packed)
+		e := plannedEngine{hash: entry >> (weightBits + loadBits), load: uint8(entry), weight: uint8(entry >> loadBits & weightMask * weightStep)}
+		engines[e.hash] = e
 	}
-	return named
+	return engines
 }
 
-// of returns what the plan says of an engine.
-func (p PoolPlan) of(named map[uint32]plannedEngine, u *traffic.Upstream) plannedEngine {
+// engine returns the entry for an engine, with default values if it is not listed.
+func (p PoolPlan) engine(listed map[uint32]plannedEngine, u *traffic.Upstream) plannedEngine {
 	hash := u.ShortHash() & engineHashMask
-	if e, ok := named[hash]; ok {
+	if e, ok := listed[hash]; ok {
 		return e
 	}
-	return plannedEngine{hash: hash, load: p.Usual, weight: fullWeight}
+	return plannedEngine{hash: hash, load: p.Usual, weight: maxWeight}
 }
 
 // mean returns the mean load of the pool's engines.
 func (p PoolPlan) mean() float64 { return float64(p.Mean) * meanUnit }
 
-// poolDraft is a pool of a plan that is being drawn, with all of its engines.
+// poolDraft is one pool with all of its engines, from which a plan is built.
 type poolDraft struct {
 	pool    uint32
 	mean    float64
 	engines []plannedEngine
 }
 
-// planOf returns the plan for some pools and prompts. It names the most important engines, as
-// many as it has room for.
-func planOf(drafts []poolDraft, prompts []PromptLoad) *Plan {
-	type ranked struct {
+// newPlan returns the plan for some pools and prompts. It lists as many engines as fit, the most
+// important ones first.
+func newPlan(drafts []poolDraft, prompts []PromptLoad) *Plan {
+	type rankedEngine struct {
 		pool       int
 		engine     plannedEngine
 		importance float64
 	}
-	var all []ranked
+	var ranked []rankedEngine
 	for i, d := range drafts {
 		for _, e := range d.engines {
-			if importance := e.importance(d.mean); importance >= leastImportance {
-				all = append(all, ranked{i, e, importance})
+			if importance := e.importance(d.mean); importance >= minImportance {
+				ranked = append(ranked, rankedEngine{i, e, importance})
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b ranked) int {
+	slices.SortFunc(ranked, func(a, b rankedEngine) int {
 		return cmp.Or(cmp.Compare(b.importance, a.importance), cmp.Compare(a.engine.hash, b.engine.hash))
 	})
 	room := (MostPlanBytes - poolBytes*len(drafts) - promptBytes*len(prompts)) / engineBytes
-	named := make([][]plannedEngine, len(drafts))
-	for _, r := range all[:min(len(all), max(room, leastNamed))] {
-		named[r.pool] = append(named[r.pool], r.engine)
+	listed := make([][]plannedEngine, len(drafts))
+	for _, r := range ranked[:min(len(ranked), max(room, minListedEngines))] {
+		listed[r.pool] = append(listed[r.pool], r.engine)
 	}
 	plan := &Plan{Prompts: prompts}
 	for i, d := range drafts {
 		plan.Pools = append(plan.Pools, PoolPlan{
-			Pool: d.pool, Mean: uint16(min(math.Round(d.mean/meanUnit), math.MaxUint16)), Usual: d.usual(named[i]), Engines: packEngines(named[i]),
+			Pool: d.pool, Mean: uint16(min(math.Round(d.mean/meanUnit), math.MaxUint16)), Usual: d.defaultLoad(listed[i]), Engines: packEngines(listed[i]),
 		})
 	}
 	return plan
 }
 
-// usual returns the mean load of the engines that are not among those named.
-func (d poolDraft) usual(named []plannedEngine) uint8 {
+// defaultLoad returns the mean load of the engines that are not listed.
+func (d poolDraft) defaultLoad(listed []plannedEngine) uint8 {
 	sum := 0
 	for _, e := range d.engines {
 		sum += int(e.load)
 	}
-	for _, e := range named {
+	for _, e := range listed {
 		sum -= int(e.load)
 	}
-	return uint8(math.Round(float64(sum) / float64(max(len(d.engines)-len(named), 1))))
+	return uint8(math.Round(float64(sum) / float64(max(len(d.engines)-len(listed), 1))))
 }
 
-// PoolHash returns the number by which hosts name a pool to each other.
+// PoolHash returns the short hash that identifies a pool in messages between hosts.
 func PoolHash(pool string) uint32 { return uint32(traffic.HashOf(pool)) }
 
-// CountedHash is the part of a hash by which hosts tell each other what is in progress, three
-// bytes. Of 880 engines two share these bytes in one of forty fleets; they then count as one.
+// CountedHash masks the three bytes of a hash that hosts send with counts of requests in progress.
+// Of 880 engines, two have the same bytes in one of forty fleets; they then count as one.
 const CountedHash = 1<<24 - 1
 
-// PromptHash returns the number by which hosts name a prompt to each other.
+// PromptHash returns the short hash that identifies a prompt in messages between hosts.
 func PromptHash(key uint64) uint32 { return uint32(key>>32) & CountedHash }
 
-// A Summary is what a plan says of all pools together.
+// A Summary describes a plan over all of its pools.
 type Summary struct {
-	// Named is how many engines the plan names, Limited how many of them take less than all of
-	// their prompts, Most the highest load of an engine.
+	// Named is the number of engines that the plan lists. The other two are the number of those with
+	// less than the full weight, and the highest load of an engine.
 	Named, Limited, Most int
-	// Prompts is how many prompts the plan has.
+	// Prompts is the number of prompts in the plan.
 	Prompts int
 }
 
-// Summary returns what the plan says of all pools together.
+// Summary returns the plan's figures over all pools.
 func (p *Plan) Summary() Summary {
 	sum := Summary{Prompts: len(p.Prompts)}
 	for _, pool := range p.Pools {
 		sum.Most = max(sum.Most, int(pool.Usual))
-		for _, e := range pool.named() {
+		for _, e := range pool.unpackEngines() {
 			sum.Named++
 			sum.Most = max(sum.Most, int(e.load))
-			if e.weight < fullWeight {
+			if e.weight < maxWeight {
 				sum.Limited++
 			}
 		}
@@ -209,7 +210,7 @@
 	return sum
 }
 
-// Size returns about how many bytes the plan takes between hosts.
+// Size returns the approximate size of the plan in messages between hosts, in bytes.
 func (p *Plan) Size() int {
 	size := promptBytes * len(p.Prompts)
 	for _, pool := range p.Pools {
