--- a/jackdawd/internal/admission/controller.go
+++ b/jackdawd/internal/admission/controller.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// ranks is how many ranks of urgency there are.
-	ranks = 10
-	// meanWeight is the weight of the newest answer in the mean times: the last 20 answers
+	// numRanks is the number of urgency ranks.
+	numRanks = 10
+	// smoothingFactor is the EWMA weight of the newest response in mean times. The last 20 responses
 	// make up two thirds.
-	meanWeight = 0.05
-	// firstService is expected of a pool without answers so far, about the time of a short answer.
-	firstService = 500 * time.Millisecond
-	// leastServiceShare is the part of its time at an upstream that a request is taken to
-	// have had a place at least, however long it was expected to wait.
-	leastServiceShare = 0.2
-	// calmDelay is the expected delay up to which an answer shows how soon one begins that need not wait.
-	calmDelay = 20 * time.Millisecond
+	smoothingFactor = 0.05
+	// initialServiceTime is assumed for a pool without responses so far, about that of a short one.
+	initialServiceTime = 500 * time.Millisecond
+	// minServiceRatio is the least part of its time at an upstream that a request is assumed to have
+	// occupied a slot, however long it was expected to wait.
+	minServiceRatio = 0.2
+	// maxIdleDelay is the expected delay up to which a response counts for the time to first byte
+	// without queueing.
+	maxIdleDelay = 20 * time.Millisecond
 )
 
 // A Controller estimates at one host how long requests would wait at each upstream.
@@ -27,200 +28,205 @@
 	mu      sync.Mutex
 	pools   map[string]*pool
 	classes map[string]*class
-	// waiting holds this host's requests at each upstream that have not begun.
-	waiting map[traffic.Start]map[*Run]struct{}
-	// refused holds what was refused lately for each upstream.
-	refused map[traffic.Start]*refusals
+	// waiting holds this host's requests at each upstream whose response has not begun.
+	waiting map[traffic.Start]map[*Attempt]struct{}
+	// refusals holds the recent refusals for each upstream.
+	refusals map[traffic.Start]*refusalTimes
 }
 
-// pool is what is known of the upstreams of one pool.
+// pool is the state of one pool of upstreams.
 type pool struct {
-	// service is the mean time for which a request keeps a place.
-	service time.Duration
-	// waits adds up by rank how long this host's requests had to wait, of late.
-	waits   [ranks]float64
-	waitsAt time.Time
-	demand  demand
-	// running counts this host's requests at the upstreams, runningOf those of each class.
-	running   int
-	runningOf map[string]int
-	// overloadedAt is when requests began to be refused, refusedAt when one was refused last.
-	overloadedAt time.Time
-	refusedAt    time.Time
-}
-
-// class is what is known of the requests of one route.
+	// meanServiceTime is the mean time for which a request occupies a slot.
+	meanServiceTime time.Duration
+	// waitByRank sums up, with decay, how long this host's requests waited, in seconds.
+	waitByRank     [numRanks]float64
+	waitsUpdatedAt time.Time
+	demand         demand
+	// running counts this host's requests at the upstreams, runningByClass those of each class.
+	running        int
+	runningByClass map[string]int
+	// overloadStartedAt is the time of the first refusal of the current overload, and lastRefusedAt
+	// of the last one.
+	overloadStartedAt time.Time
+	lastRefusedAt     time.Time
+}
+
+// class is the state of the requests of one route.
 type class struct {
-	// begins is the mean time after which an answer begins that need not wait.
-	begins time.Duration
-	// usual is how long most callers would wait, and votes by how many more they have been
-	// than those who would wait otherwise.
-	usual time.Duration
-	votes int
+	// timeToFirstByte is the mean time until a response begins if the request doesn't wait.
+	timeToFirstByte time.Duration
+	// usualTimeLeft is how long most callers will still wait, tracked by majority vote. votes is the
+	// lead of the callers that agree with it.
+	usualTimeLeft time.Duration
+	votes         int
 }
 
-// A Request is what the controller must know of a request.
+// A Request describes a request to the controller.
 type Request struct {
 	Pool  string
 	Class string
-	// Workspace is whom it comes from.
+	// Workspace is the workspace that sent the request.
 	Workspace string
-	// Rank is its urgency; 0 is the most urgent.
+	// Rank is the urgency; 0 is the most urgent.
 	Rank int
-	// Target is how soon an answer should begin.
+	// Target is how soon the response should begin.
 	Target time.Duration
 }
 
-// A Run is a request at an upstream.
-type Run struct {
-	controller *Controller
-	request    Request
-	at         traffic.Start
-	sent       time.Time
-	expected   time.Duration
-	begun      bool
+// An Attempt is a request that was sent to an upstream.
+type Attempt struct {
+	controller    *Controller
+	request       Request
+	upstream      traffic.Start
+	sentAt        time.Time
+	expectedDelay time.Duration
+	// leftQueue is set once the response has begun or the request has ended.
+	leftQueue bool
 }
 
-// NewController returns a controller that has seen nothing.
+// NewController returns a controller without any measurements.
 func NewController() *Controller {
-	return &Controller{pools: map[string]*pool{}, classes: map[string]*class{}, waiting: map[traffic.Start]map[*Run]struct{}{}, refused: map[traffic.Start]*refusals{}}
+	return &Controller{pools: map[string]*pool{}, classes: map[string]*class{}, waiting: map[traffic.Start]map[*Attempt]struct{}{}, refusals: map[traffic.Start]*refusalTimes{}}
 }
 
-// Send takes in that a request goes to an upstream where it is expected to wait for a time.
-func (c *Controller) Send(now time.Time, r Request, at traffic.Start, expected time.Duration) *Run {
-	r.Rank = inRange(r.Rank)
-	run := &Run{controller: c, request: r, at: at, sent: now, expected: expected}
+// Send records that a request is sent to an upstream, where it is expected to wait for
+// expectedDelay.
+func (c *Controller) Send(now time.Time, r Request, upstream traffic.Start, expectedDelay time.Duration) *Attempt {
+	r.Rank = clampRank(r.Rank)
+	a := &Attempt{controller: c, request: r, upstream: upstream, sentAt: now, expectedDelay: expectedDelay}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pool(r.Pool)
 	p.running++
-	p.runningOf[r.Class]++
-	if c.waiting[at] == nil {
-		c.waiting[at] = map[*Run]struct{}{}
+	p.runningByClass[r.Class]++
+	if c.waiting[upstream] == nil {
+		c.waiting[upstream] = map[*Attempt]struct{}{}
 	}
-	c.waiting[at][run] = struct{}{}
-	return run
+	c.waiting[upstream][a] = struct{}{}
+	return a
 }
 
-// Began takes in that the answer has begun.
-func (r *Run) Began(now time.Time) {
-	c := r.controller
+// Began records that the response has begun.
+func (a *Attempt) Began(now time.Time) {
+	c := a.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leave(now, r)
-	if r.expected <= calmDelay {
-		mean(&c.class(r.request.Class).begins, now.Sub(r.sent))
+	c.leaveQueue(now, a)
+	if a.expectedDelay <= maxIdleDelay {
+		updateMean(&c.class(a.request.Class).timeToFirstByte, now.Sub(a.sentAt))
 	}
 }
 
-// Ended takes in that the request has left the upstream, with a whole answer or without.
-func (r *Run) Ended(now time.Time, whole bool) {
-	c := r.controller
+// Ended records that the request has ended; complete is set if the whole response was received.
+func (a *Attempt) Ended(now time.Time, complete bool) {
+	c := a.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leave(now, r)
-	p := c.pool(r.request.Pool)
+	c.leaveQueue(now, a)
+	p := c.pool(a.request.Pool)
 	p.running--
-	p.runningOf[r.request.Class]--
-	if whole {
-		took := now.Sub(r.sent)
-		mean(&p.service, max(took-r.expected, time.Duration(leastServiceShare*float64(took))))
+	p.runningByClass[a.request.Class]--
+	if complete {
+		took := now.Sub(a.sentAt)
+		updateMean(&p.meanServiceTime, max(took-a.expectedDelay, time.Duration(minServiceRatio*float64(took))))
 	}
 }
 
-// leave counts a request that has begun or gone as waiting no longer; the lock must be held.
-func (c *Controller) leave(now time.Time, r *Run) {
-	if r.begun {
+// leaveQueue records the wait of an attempt whose response has begun or that has ended. The caller
+// must hold c.mu.
+func (c *Controller) leaveQueue(now time.Time, a *Attempt) {
+	if a.leftQueue {
 		return
 	}
-	r.begun = true
-	c.pool(r.request.Pool).waited(now, r.request.Rank, now.Sub(r.sent)-c.class(r.request.Class).begins)
-	delete(c.waiting[r.at], r)
-	if len(c.waiting[r.at]) == 0 {
-		delete(c.waiting, r.at)
+	a.leftQueue = true
+	c.pool(a.request.Pool).recordWait(now, a.request.Rank, now.Sub(a.sentAt)-c.class(a.request.Class).timeToFirstByte)
+	delete(c.waiting[a.upstream], a)
+	if len(c.waiting[a.upstream]) == 0 {
+		delete(c.waiting, a.upstream)
 	}
 }
 
-// Begins returns how soon an answer of a class begins that need not wait.
+// Begins returns the mean time until a response of a class begins if the request doesn't wait.
 func (c *Controller) Begins(class string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.class(class).begins
+	return c.class(class).timeToFirstByte
 }
 
-// Waited returns how long ago a caller came first that will still wait for the time given.
-// Callers of a class wait equally long; one that was refused has less time left when it
-// comes again. What most have left counts, or one caller with more patience would make
-// all others look as if they had been here before.
-func (c *Controller) Waited(class string, left time.Duration) time.Duration {
+// Waited returns how long ago a caller that will still wait for timeLeft sent its request first.
+// Callers of a class wait equally long in total, so one that was refused has less time left when it
+// retries. The reference is the time that most callers have left rather than the longest time, as a
+// single caller with more patience would make all others look like retries.
+func (c *Controller) Waited(class string, timeLeft time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.class(class)
-	k.vote(left)
-	return max(k.usual-left, 0)
+	cl := c.class(class)
+	cl.vote(timeLeft)
+	return max(cl.usualTimeLeft-timeLeft, 0)
 }
 
-// vote takes in how long a caller would wait. The first ones' tries differ by less than
-// voteTolerance, while those that come again have anything left.
-func (k *class) vote(left time.Duration) {
+// vote updates the time that most callers have left. First attempts differ by at most voteTolerance,
+// while the time left of retries varies widely.
+func (cl *class) vote(timeLeft time.Duration) {
 	switch {
-	case (k.usual - left).Abs() <= voteTolerance:
-		k.votes = min(k.votes+1, mostVotes)
-	case k.votes == 0:
-		k.usual, k.votes = left, 1
+	case (cl.usualTimeLeft - timeLeft).Abs() <= voteTolerance:
+		cl.votes = min(cl.votes+1, maxVotes)
+	case cl.votes == 0:
+		cl.usualTimeLeft, cl.votes = timeLeft, 1
 	default:
-		k.votes--
+		cl.votes--
 	}
 }
 
 const (
-	// voteTolerance is by how much the time differs that two callers have left who come for
-	// the first time, for what their connections took.
+	// voteTolerance is how much the time left may differ between first attempts, due to the time
+	// that their connections took.
 	voteTolerance = 50 * time.Millisecond
-	// mostVotes bounds the votes, so that so many callers are enough to show that habits have changed.
-	mostVotes = 50
+	// maxVotes bounds the votes, so that this many callers are enough to show that most callers now
+	// wait for another time.
+	maxVotes = 50
 )
 
-// Arrived takes in that a request has come.
+// Arrived records that a request has arrived at this host.
 func (c *Controller) Arrived(now time.Time, r Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pool(r.Pool).demand.add(now, r.Workspace)
 }
 
-func (p *pool) expectedService() time.Duration {
-	if p.service == 0 {
-		return firstService
+func (p *pool) expectedServiceTime() time.Duration {
+	if p.meanServiceTime == 0 {
+		return initialServiceTime
 	}
-	return p.service
+	return p.meanServiceTime
 }
 
 func (c *Controller) pool(name string) *pool {
 	p, ok := c.pools[name]
 	if !ok {
-		p = &pool{runningOf: map[string]int{}, demand: newDemand()}
+		p = &pool{runningByClass: map[string]int{}, demand: newDemand()}
 		c.pools[name] = p
 	}
 	return p
 }
 
 func (c *Controller) class(name string) *class {
-	k, ok := c.classes[name]
+	cl, ok := c.classes[name]
 	if !ok {
-		k = &class{}
-		c.classes[name] = k
+		cl = &class{}
+		c.classes[name] = cl
 	}
-	return k
+	return cl
 }
 
-// mean takes a sample into a mean.
-func mean(m *time.Duration, sample time.Duration) {
-	if *m == 0 {
-		*m = sample
+// updateMean adds a sample to an EWMA.
+func updateMean(mean *time.Duration, sample time.Duration) {
+	if *mean == 0 {
+		*mean = sample
 		return
 	}
-	*m += time.Duration(meanWeight * float64(sample-*m))
+	*mean += time.Duration(smoothingFactor * float64(sample-*mean))
 }
 
-// inRange returns the rank nearest to one given that there is.
-func inRange(rank int) int { return min(max(rank, 0), ranks-1) }
+// clampRank returns the valid rank nearest to the given one.
+func clampRank(rank int) int { return min(max(rank, 0), numRanks-1) }
--- a/jackdawd/internal/admission/delay.go
+++ b/jackdawd/internal/admission/delay.go
@@ -9,84 +9,86 @@
 )
 
 const (
-	// waitsLifetime is how long what requests had to wait tells of those that wait now.
-	waitsLifetime = time.Second
-	// leastWaits is added to what requests had to wait, so that one that waited for some
-	// milliseconds says nothing.
-	leastWaits = 20 * time.Millisecond
-	// stuckRequests is how many requests make an upstream stuck that have waited for
-	// stuckTimes times as long as their answers take to begin: one may be reading a long prompt.
-	stuckRequests = 2
-	stuckTimes    = 2
+	// waitDecayTime is the time constant with which past waits lose weight as an indicator of the
+	// requests that wait now.
+	waitDecayTime = time.Second
+	// waitSmoothing is added to the sums of waits, so that a wait of a few milliseconds has no
+	// effect.
+	waitSmoothing = 20 * time.Millisecond
+	// minStuckRequests is how many requests make an upstream stuck if each has waited for more than
+	// stuckFactor times the usual time to first byte. A single one may have a long prompt.
+	minStuckRequests = 2
+	stuckFactor      = 2
 )
 
-// Delay returns how long a request would wait at an upstream with a backlog.
-func (c *Controller) Delay(now time.Time, r Request, at traffic.Start, backlog placement.Backlog) time.Duration {
-	rank := inRange(r.Rank)
+// Delay returns how long a request would wait at an upstream with the given backlog.
+func (c *Controller) Delay(now time.Time, r Request, upstream traffic.Start, backlog placement.Backlog) time.Duration {
+	rank := clampRank(r.Rank)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pool(r.Pool)
-	told := p.shareUpTo(rank) * backlog.Waiting * float64(p.expectedService()) / max(backlog.Running, 1)
-	return max(time.Duration(told), c.waitedBefore(now, rank, at, backlog.HadQueue))
+	reported := p.waitRatioUpTo(rank) * backlog.Waiting * float64(p.expectedServiceTime()) / max(backlog.Running, 1)
+	return max(time.Duration(reported), c.longestWait(now, rank, upstream, backlog.HadQueue))
 }
 
-// Stuck reports whether several of this host's requests at an upstream should have begun long ago.
-func (c *Controller) Stuck(now time.Time, at traffic.Start) bool {
+// Stuck reports whether the responses to several of this host's requests at an upstream are
+// overdue.
+func (c *Controller) Stuck(now time.Time, upstream traffic.Start) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for r := range c.waiting[at] {
-		if begins := c.class(r.request.Class).begins; begins > 0 && now.Sub(r.sent) > stuckTimes*begins {
+	for a := range c.waiting[upstream] {
+		if expected := c.class(a.request.Class).timeToFirstByte; expected > 0 && now.Sub(a.sentAt) > stuckFactor*expected {
 			n++
 		}
 	}
-	return n >= stuckRequests
+	return n >= minStuckRequests
 }
 
-// waitedBefore returns for how long a request that is as urgent has waited at an upstream, which a
-// newcomer will do at least. What upstreams tell comes with answers that begin, so that the
-// fuller one is the older is what it told.
+// longestWait returns how long requests of this host that are at least as urgent have waited at an
+// upstream, as a lower bound for a new one. Load reports come with responses that begin, so the
+// fuller an upstream is, the older is its report.
 //
-// Where nothing waited when it told last, the time counts from the target on: an answer
-// may take that long to begin while a prompt is read. An upstream that has gone dark, which
-// tells nothing any more, is found out then as well.
-func (c *Controller) waitedBefore(now time.Time, rank int, at traffic.Start, crowded bool) time.Duration {
+// If nothing waited at the last report, a wait counts only once it exceeds the target, as computing
+// a prompt may take that long. This also detects an upstream that no longer responds and therefore
+// reports nothing.
+func (c *Controller) longestWait(now time.Time, rank int, upstream traffic.Start, hadQueue bool) time.Duration {
 	longest := time.Duration(0)
-	for r := range c.waiting[at] {
-		if r.request.Rank > rank {
+	for a := range c.waiting[upstream] {
+		if a.request.Rank > rank {
 			continue
 		}
-		age := now.Sub(r.sent)
+		age := now.Sub(a.sentAt)
 		switch {
-		case crowded:
-			longest = max(longest, age-c.class(r.request.Class).begins)
-		case age > r.request.Target:
+		case hadQueue:
+			longest = max(longest, age-c.class(a.request.Class).timeToFirstByte)
+		case age > a.request.Target:
 			longest = max(longest, age)
 		}
 	}
 	return longest
 }
 
-// waited takes in how long a request of a rank had to wait.
-func (p *pool) waited(now time.Time, rank int, wait time.Duration) {
-	faded := math.Exp(-now.Sub(p.waitsAt).Seconds() / waitsLifetime.Seconds())
-	for r := range p.waits {
-		p.waits[r] *= faded
+// recordWait adds how long a request of a rank has waited.
+func (p *pool) recordWait(now time.Time, rank int, wait time.Duration) {
+	decay := math.Exp(-now.Sub(p.waitsUpdatedAt).Seconds() / waitDecayTime.Seconds())
+	for r := range p.waitByRank {
+		p.waitByRank[r] *= decay
 	}
-	p.waitsAt = now
-	p.waits[rank] += max(wait, 0).Seconds()
+	p.waitsUpdatedAt = now
+	p.waitByRank[rank] += max(wait, 0).Seconds()
 }
 
-// shareUpTo returns the part of what waits that is as urgent as a rank, or more.
-// Upstreams begin with the more urgent first and do not tell how urgent those are that
-// wait; how long this host's own had to wait is a sample of it.
-func (p *pool) shareUpTo(rank int) float64 {
-	upTo, all := 0.0, 0.0
-	for r, wait := range p.waits {
-		all += wait
+// waitRatioUpTo returns the estimated ratio of waiting requests that are at least as urgent as a
+// rank. Upstreams begin more urgent requests first and don't report the urgency of those that wait;
+// the recent waits of this host's own requests are a sample of it.
+func (p *pool) waitRatioUpTo(rank int) float64 {
+	upTo, total := 0.0, 0.0
+	for r, wait := range p.waitByRank {
+		total += wait
 		if r <= rank {
 			upTo += wait
 		}
 	}
-	return (upTo + leastWaits.Seconds()) / (all + leastWaits.Seconds())
+	return (upTo + waitSmoothing.Seconds()) / (total + waitSmoothing.Seconds())
 }
--- a/jackdawd/internal/admission/demand.go
+++ b/jackdawd/internal/admission/demand.go
@@ -6,88 +6,88 @@
 )
 
 const (
-	// recentFor is the time over which requests count as what a workspace asks for now, and
-	// usualFor the one over which they count as what it usually asks for.
-	recentFor = 2 * time.Second
-	usualFor  = 30 * time.Second
-	// leastRecent is how many recent requests show a surge; with fewer it may be chance.
-	leastRecent = 5
-	// surgeOver is how many times more than that of all others a workspace's demand must have
-	// grown to be a surge of its own.
-	surgeOver = 1.5
-	// forgottenBelow is the count of usual requests below which a workspace is forgotten.
-	forgottenBelow = 0.01
-	// sweepAbove is how many workspaces there must be for those to be looked for.
-	sweepAbove = 64
+	// recentWindow is the time over which a workspace's current demand is measured, and
+	// baselineWindow the time over which its usual demand is.
+	recentWindow   = 2 * time.Second
+	baselineWindow = 30 * time.Second
+	// minRecentRequests is the least number of recent requests in a surge. Fewer may be random.
+	minRecentRequests = 5
+	// surgeThreshold is the ratio of a workspace's growth to that of all others above which the
+	// workspace surges.
+	surgeThreshold = 1.5
+	// minBaselineCount is the baseline below which a workspace is dropped.
+	minBaselineCount = 0.01
+	// sweepThreshold is the number of workspaces from which idle ones are searched for.
+	sweepThreshold = 64
 )
 
-// demand is what the workspaces ask of a pool at this host, now and usually.
+// demand tracks the current and usual demand of workspaces for a pool at this host.
 //
-// It answers a workspace that sends many times its usual: while upstreams are full, its
-// requests are refused before those of workspaces that ask for what they always do. Large
-// workspaces are no worse off for being large, nor is anyone when all grow together.
+// While upstreams are full, a workspace that sends many times its usual requests is refused before
+// workspaces with their usual demand. Large workspaces have no disadvantage from their size, nor
+// has any workspace when all grow together.
 type demand struct {
-	all         counts
-	byWorkspace map[string]*counts
+	all         decayingCounts
+	byWorkspace map[string]*decayingCounts
 }
 
-// counts are requests that fade with time.
-type counts struct {
-	recent, usual float64
-	at            time.Time
+// decayingCounts are request counts that decay exponentially over the two windows.
+type decayingCounts struct {
+	recent, baseline float64
+	updatedAt        time.Time
 }
 
-func newDemand() demand { return demand{byWorkspace: map[string]*counts{}} }
+func newDemand() demand { return demand{byWorkspace: map[string]*decayingCounts{}} }
 
-// add takes in a request.
+// add records a request.
 func (d *demand) add(now time.Time, workspace string) {
 	c, ok := d.byWorkspace[workspace]
 	if !ok {
 		d.sweep(now)
-		c = &counts{}
+		c = &decayingCounts{}
 		d.byWorkspace[workspace] = c
 	}
 	c.add(now)
 	d.all.add(now)
 }
 
-// surges reports whether a workspace's demand has grown far more than that of all others.
-func (d *demand) surges(now time.Time, workspace string) bool {
+// isSurging reports whether a workspace's demand has grown far more than that of all others.
+func (d *demand) isSurging(now time.Time, workspace string) bool {
 	c, ok := d.byWorkspace[workspace]
 	if !ok {
 		return false
 	}
-	c.fade(now)
-	d.all.fade(now)
-	others := counts{recent: d.all.recent - c.recent, usual: d.all.usual - c.usual}
-	return c.recent >= leastRecent && others.usual > forgottenBelow && c.growth() > surgeOver*others.growth()
+	c.decay(now)
+	d.all.decay(now)
+	others := decayingCounts{recent: d.all.recent - c.recent, baseline: d.all.baseline - c.baseline}
+	return c.recent >= minRecentRequests && others.baseline > minBaselineCount && c.growth() > surgeThreshold*others.growth()
 }
 
-// sweep forgets workspaces that ask for nothing any more.
+// sweep drops idle workspaces.
 func (d *demand) sweep(now time.Time) {
-	if len(d.byWorkspace) < sweepAbove {
+	if len(d.byWorkspace) < sweepThreshold {
 		return
 	}
 	for name, c := range d.byWorkspace {
-		if c.fade(now); c.usual < forgottenBelow {
+		if c.decay(now); c.baseline < minBaselineCount {
 			delete(d.byWorkspace, name)
 		}
 	}
 }
 
-func (c *counts) add(now time.Time) {
-	c.fade(now)
+func (c *decayingCounts) add(now time.Time) {
+	c.decay(now)
 	c.recent++
-	c.usual++
+	c.baseline++
 }
 
-func (c *counts) fade(now time.Time) {
-	age := now.Sub(c.at).Seconds()
-	c.recent *= math.Exp(-age / recentFor.Seconds())
-	c.usual *= math.Exp(-age / usualFor.Seconds())
-	c.at = now
+func (c *decayingCounts) decay(now time.Time) {
+	age := now.Sub(c.updatedAt).Seconds()
+	c.recent *= math.Exp(-age / recentWindow.Seconds())
+	c.baseline *= math.Exp(-age / baselineWindow.Seconds())
+	c.updatedAt = now
 }
 
-// growth returns how the recent requests compare with the usual ones; the same factor is
-// in everybody's.
-func (c *counts) growth() float64 { return c.recent / c.usual }
+// growth returns the ratio of recent to baseline requests. It is not normalized by the windows, as
+// this factor is the same for all workspaces.
+func (c *decayingCounts) growth() float64 { return c.recent / c.baseline }
--- a/jackdawd/internal/admission/refusal.go
+++ b/jackdawd/internal/admission/refusal.go
@@ -9,108 +9,108 @@
 )
 
 const (
-	// leastShare is the part of the places of this host's requests that each class may
-	// take, whatever more urgent ones ask for, so that none starves.
-	leastShare = 0.1
-	// refusedFor is how long after a refusal less urgent requests are refused as well: about
-	// the time between two refusals at a host that sees few requests of an overload.
-	refusedFor = 300 * time.Millisecond
+	// minClassRatio is the part of this host's running requests that each class may have regardless
+	// of more urgent ones, so that none starves.
+	minClassRatio = 0.1
+	// refusalWindow is how long after a refusal less urgent requests are refused as well: about the
+	// time between two refusals at a host that sees few requests of an overload.
+	refusalWindow = 300 * time.Millisecond
 	// overloadGap is how long after the last refusal an overload is over.
 	overloadGap = time.Second
 )
 
-// refusals is when a request of each rank was refused last for an upstream.
-type refusals [ranks]time.Time
+// refusalTimes holds, by rank, when a request was last refused for an upstream.
+type refusalTimes [numRanks]time.Time
 
-// Refused takes in that a request was refused for lack of room at an upstream.
-func (c *Controller) Refused(now time.Time, r Request, at traffic.Start) {
+// Refused records that a request was refused for lack of capacity at an upstream.
+func (c *Controller) Refused(now time.Time, r Request, upstream traffic.Start) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pool(r.Pool).overloaded(now)
-	if c.refused[at] == nil {
-		c.forgetRefusals(now)
-		c.refused[at] = &refusals{}
+	c.pool(r.Pool).recordOverload(now)
+	if c.refusals[upstream] == nil {
+		c.pruneRefusals(now)
+		c.refusals[upstream] = &refusalTimes{}
 	}
-	c.refused[at][inRange(r.Rank)] = now
+	c.refusals[upstream][clampRank(r.Rank)] = now
 }
 
-// RefusedSurge takes in that a request of a workspace that surges was refused; others may
-// find room where it did not, less urgent ones included.
+// RefusedSurge records that a request of a surging workspace was refused. It doesn't block less
+// urgent requests, as those of other workspaces may still be admitted.
 func (c *Controller) RefusedSurge(now time.Time, pool string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pool(pool).overloaded(now)
+	c.pool(pool).recordOverload(now)
 }
 
-// overloaded notes that there is an overload.
-func (p *pool) overloaded(now time.Time) {
-	if now.Sub(p.refusedAt) > overloadGap {
-		p.overloadedAt = now
+// recordOverload begins or extends an overload of the pool.
+func (p *pool) recordOverload(now time.Time) {
+	if now.Sub(p.lastRefusedAt) > overloadGap {
+		p.overloadStartedAt = now
 	}
-	p.refusedAt = now
+	p.lastRefusedAt = now
 }
 
-// Precedence says how a request stands to the others of its pool.
+// Precedence is how a request ranks against the others of its pool.
 type Precedence string
 
 // The precedences.
 const (
 	// Usual requests are admitted if they can begin in time.
 	Usual Precedence = "usual"
-	// Surging requests are of a workspace that asks for many times its usual.
+	// Surging requests are of a workspace that sends many times its usual requests.
 	Surging Precedence = "surging"
-	// Owed requests are of a class that has less than its least share, and go first.
+	// Owed requests are of a class below its minimum share of the running requests, and go first.
 	Owed Precedence = "owed"
 )
 
-// Precedence returns how a request stands to the others that want an upstream.
+// Precedence returns how a request ranks against the others of its pool.
 func (c *Controller) Precedence(now time.Time, r Request) Precedence {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pool(r.Pool)
-	if now.Sub(p.refusedAt) > overloadGap {
+	if now.Sub(p.lastRefusedAt) > overloadGap {
 		return Usual
 	}
 	switch {
-	case p.demand.surges(now, r.Workspace):
+	case p.demand.isSurging(now, r.Workspace):
 		return Surging
-	case float64(p.runningOf[r.Class]) < leastShare*float64(p.running):
+	case float64(p.runningByClass[r.Class]) < minClassRatio*float64(p.running):
 		return Owed
 	}
 	return Usual
 }
 
-// Behind reports whether a more urgent request has just been refused for an upstream.
-func (c *Controller) Behind(now time.Time, r Request, at traffic.Start) bool {
+// Behind reports whether a more urgent request was refused for an upstream within refusalWindow.
+func (c *Controller) Behind(now time.Time, r Request, upstream traffic.Start) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	refused, ok := c.refused[at]
+	refusedAt, ok := c.refusals[upstream]
 	if !ok {
 		return false
 	}
-	for rank := range min(r.Rank, ranks) {
-		if now.Sub(refused[rank]) < refusedFor {
+	for rank := range min(r.Rank, numRanks) {
+		if now.Sub(refusedAt[rank]) < refusalWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// forgetRefusals drops those that say nothing any more; the lock must be held.
-func (c *Controller) forgetRefusals(now time.Time) {
-	maps.DeleteFunc(c.refused, func(_ traffic.Start, r *refusals) bool {
-		return !slices.ContainsFunc(r[:], func(at time.Time) bool { return now.Sub(at) < refusedFor })
+// pruneRefusals drops upstreams without a recent refusal. The caller must hold c.mu.
+func (c *Controller) pruneRefusals(now time.Time) {
+	maps.DeleteFunc(c.refusals, func(_ traffic.Start, r *refusalTimes) bool {
+		return !slices.ContainsFunc(r[:], func(at time.Time) bool { return now.Sub(at) < refusalWindow })
 	})
 }
 
-// Overloaded returns for how long requests to a pool have been refused. Of a crowd whose
-// end is not known, the best guess is that it stays for as long again.
+// Overloaded returns for how long requests to a pool have been refused. As the end of an overload is
+// unknown, the best estimate is that it continues for as long again.
 func (c *Controller) Overloaded(now time.Time, poolName string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pool(poolName)
-	if now.Sub(p.refusedAt) > overloadGap {
+	if now.Sub(p.lastRefusedAt) > overloadGap {
 		return 0
 	}
-	return now.Sub(p.overloadedAt)
+	return now.Sub(p.overloadStartedAt)
 }
