--- a/jackdawd/internal/admission/controller.go
+++ b/jackdawd/internal/admission/controller.go
@@ -153,10 +153,10 @@
 	return c.class(class).timeToFirstByte
 }
 
-// Waited returns how long ago a caller that will still wait for timeLeft sent its request first.
-// Callers of a class wait equally long in total, so one that was refused has less time left when it
-// retries. The reference is the time that most callers have left rather than the longest time, as a
-// single caller with more patience would make all others look like retries.
+// Waited returns how long ago a caller that will still wait for timeLeft sent its first
+// attempt. Callers of a class wait equally long in total, so one that was refused has less time left
+// when it retries. The reference is the time that most callers have left rather than the longest
+// time, as a single caller with more patience would make all others look like retries.
 func (c *Controller) Waited(class string, timeLeft time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/jackdawd/internal/admission/refusal.go
+++ b/jackdawd/internal/admission/refusal.go
@@ -34,8 +34,8 @@
 	c.refusals[upstream][clampRank(r.Rank)] = now
 }
 
-// RefusedSurge records that a request of a surging workspace was refused. It doesn't block less
-// urgent requests, as those of other workspaces may still be admitted.
+// RefusedSurge records that a request of a surging workspace was refused. It doesn't block
+// less urgent requests, as those of other workspaces may still be admitted.
 func (c *Controller) RefusedSurge(now time.Time, pool string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +80,8 @@
 	return Usual
 }
 
-// Behind reports whether a more urgent request was refused for an upstream within refusalWindow.
+// Behind reports whether a more urgent request was refused for an upstream within
+// refusalWindow.
 func (c *Controller) Behind(now time.Time, r Request, upstream traffic.Start) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,8 +104,8 @@
 	})
 }
 
-// Overloaded returns for how long requests to a pool have been refused. As the end of an overload is
-// unknown, the best estimate is that it continues for as long again.
+// Overloaded returns for how long requests to a pool have been refused. As the end of an
+// overload is unknown, the best estimate is that it continues for as long again.
 func (c *Controller) Overloaded(now time.Time, poolName string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/jackdawd/internal/placement/plan.go
+++ b/jackdawd/internal/placement/plan.go
@@ -187,8 +187,8 @@
 
 // A Summary describes a plan over all of its pools.
 type Summary struct {
-	// Named is the number of engines that the plan lists. The other two are the number of those with
-	// less than the full weight, and the highest load of an engine.
+	// Named is the number of engines that the plan lists. The other two are the number of
+	// those with less than the full weight, and the highest load of an engine.
 	Named, Limited, Most int
 	// Prompts is the number of prompts in the plan.
 	Prompts int
--- a/jackdawd/internal/placement/request_stats.go
+++ b/jackdawd/internal/placement/request_stats.go
@@ -79,8 +79,8 @@
 	return initialDuration
 }
 
-// InProgress returns the mean duration of a pool's requests in progress. It is longer than the mean
-// of all requests, as long requests are in progress more of the time.
+// InProgress returns the mean duration of a pool's requests in progress. It is longer than the
+// mean of all requests, as long requests are in progress more of the time.
 func (t *Turnovers) InProgress(now time.Time, pool string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
