--- a/jackdawd/internal/delivery/client.go
+++ b/jackdawd/internal/delivery/client.go
@@ -10,74 +10,74 @@
 	"jackdawhinge/common/upstream"
 )
 
-// A Client calls upstreams and other entry hosts by HTTP.
+// A Client sends HTTP requests to upstreams and other entry hosts. It is safe for concurrent use.
 type Client struct {
-	http  *http.Client
-	fresh *http.Client
+	pooled      *http.Client
+	noKeepAlive *http.Client
 }
 
 const (
-	dialTimeout     = time.Second
-	idleConns       = 4
-	idleConnTimeout = 90 * time.Second
+	dialTimeout         = time.Second
+	maxIdleConnsPerHost = 4
+	idleConnTimeout     = 90 * time.Second
 )
 
-// An Option changes how a client connects.
+// An Option changes the transport of a Client.
 type Option func(*http.Transport)
 
-// WithDial makes a client connect by the function given.
+// WithDial returns an Option that sets the function by which a Client connects.
 func WithDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(t *http.Transport) { t.DialContext = dial }
 }
 
-// NewClient returns a client that keeps a few idle connections to each address.
+// NewClient returns a Client that keeps a few idle connections to each address.
 func NewClient(options ...Option) *Client {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 	for _, option := range options {
 		option(transport)
 	}
-	fresh := transport.Clone()
-	fresh.DisableKeepAlives = true
-	return &Client{http: &http.Client{Transport: transport}, fresh: &http.Client{Transport: fresh}}
+	noKeepAlive := transport.Clone()
+	noKeepAlive.DisableKeepAlives = true
+	return &Client{pooled: &http.Client{Transport: transport}, noKeepAlive: &http.Client{Transport: noKeepAlive}}
 }
 
-// Close closes the connections that are idle.
+// Close closes the idle connections.
 func (c *Client) Close() {
-	c.http.CloseIdleConnections()
+	c.pooled.CloseIdleConnections()
 }
 
-// Do sends a request; no redirect is followed and no failure repeated.
+// Do sends a request on a pooled connection. A request that has a body is never retried.
 func (c *Client) Do(req *http.Request) (*http.Response, error) {
-	// The transport repeats requests on connections that broke while idle if
-	// it holds them for idempotent. A body without GetBody is never repeated,
-	// so an upstream cannot be made to execute twice behind the router's back.
+	// http.Transport retries idempotent requests on connections that broke while idle. It never
+	// retries a body that has no GetBody, so that an upstream does not execute a request twice
+	// without the router's knowledge.
 	req.GetBody = nil
-	return c.http.Do(req)
+	return c.pooled.Do(req)
 }
 
-// DoFresh sends a request on a connection of its own. The other side may close an
-// idle connection just as a request is sent on it, and then nobody can tell whether
-// the request arrived; on a fresh one a refused connection proves that it did not.
-func (c *Client) DoFresh(req *http.Request) (*http.Response, error) {
+// DoOnNewConn sends a request on a new connection. The peer may close an idle connection just as a
+// request is sent on it, which leaves open whether the request arrived; a refused new connection
+// proves that it did not.
+func (c *Client) DoOnNewConn(req *http.Request) (*http.Response, error) {
 	req.GetBody = nil
-	return c.fresh.Do(req)
+	return c.noKeepAlive.Do(req)
 }
 
-// DoFor sends a request on a fresh connection unless it is idempotent.
+// DoFor sends an idempotent request on a pooled connection and any other on a new one.
 func (c *Client) DoFor(req *http.Request, idempotent bool) (*http.Response, error) {
 	if idempotent {
 		return c.Do(req)
 	}
-	return c.DoFresh(req)
+	return c.DoOnNewConn(req)
 }
 
-// Cancel asks an upstream to stop working on a request; the answer is not waited for beyond the timeout.
+// Cancel asks an upstream to cancel a request, and waits at most dialTimeout for its response.
 func (c *Client) Cancel(address, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
--- a/jackdawd/internal/delivery/doc.go
+++ b/jackdawd/internal/delivery/doc.go
@@ -1,3 +1,7 @@
-// Package delivery brings one answer from an upstream or another entry host to
-// a sink: whole, in order, of the right request, resumed where the connection broke.
+// Package delivery reads the response to one request, a sequence of numbered frames, from an
+// upstream or another entry host and passes it to a sink.
+//
+// It checks that each frame belongs to the request and is the next one, so that a response is
+// delivered complete, in order and only once, and can be resumed where a connection broke. Package
+// dispatch calls it for requests, and package node uses the Client to poll loads.
 package delivery
--- a/jackdawd/internal/delivery/stream.go
+++ b/jackdawd/internal/delivery/stream.go
@@ -11,27 +11,29 @@
 	"jackdawhinge/common/upstream"
 )
 
-// ErrBroken says that a connection ended before the answer did.
+// ErrBroken is returned if a connection ended before the response was complete.
 var ErrBroken = errors.New("answer broke off")
 
-// ErrSink says that the reader of the answer is gone.
+// ErrSink is returned if the sink failed because its reader has disconnected.
 var ErrSink = errors.New("reader of the answer is gone")
 
-// A CrossedError says that an upstream sent a frame that belongs to another answer or another place in this one.
+// A CrossedError is returned if a frame belongs to another request or comes after a gap in the
+// positions.
 type CrossedError struct {
-	Want, Got         string
-	WantPos, Position int
+	Want, Got                 string
+	WantPosition, GotPosition int
 }
 
-// Error returns what was expected and what came.
+// Error returns the expected and the received request and position.
 func (e *CrossedError) Error() string {
-	return fmt.Sprintf("frame of request %q at %d where %q at %d was due", e.Got, e.Position, e.Want, e.WantPos)
+	return fmt.Sprintf("frame of request %q at %d where %q at %d was due", e.Got, e.GotPosition, e.Want, e.WantPosition)
 }
 
-// A Sink takes the frames of an answer in order.
+// A Sink receives the frames of a response in order.
 type Sink func(upstream.Frame) error
 
-// A Progress is how far an answer has come.
+// A Progress is the state of a response that is being delivered: the request's ID, the position of
+// the next frame, and whether the last frame was delivered.
 type Progress struct {
 	ID       string
 	Next     int
@@ -39,20 +41,21 @@
 }
 
 const (
-	maxFrameBytes   = 16 << 20
-	startFrameBytes = 4 << 10
+	maxFrameBytes      = 16 << 20
+	initialBufferBytes = 4 << 10
 )
 
-// Copy passes the frames in body on to the sink, from the position in p on,
-// and moves p forward; ErrBroken means that the rest may be had by resuming.
+// Copy passes the frames in body to sink, starting at the position in p, and advances p. It returns
+// [ErrBroken] if the response is incomplete and can be resumed, [ErrSink] if the sink failed, or a
+// [*CrossedError].
 func Copy(body io.Reader, p *Progress, sink Sink) error {
-	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, startFrameBytes), maxFrameBytes)
-	for lines.Scan() {
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(make([]byte, 0, initialBufferBytes), maxFrameBytes)
+	for scanner.Scan() {
 		var f upstream.Frame
-		if err := json.Unmarshal(lines.Bytes(), &f); err != nil {
-			// A line cut in the middle and a line of rubbish look alike;
-			// neither may reach the caller, and both are healed by resuming.
+		if err := json.Unmarshal(scanner.Bytes(), &f); err != nil {
+			// A truncated line cannot be told from an invalid one. Neither may reach the caller,
+			// and resuming recovers from both.
 			return fmt.Errorf("%w: %w", ErrBroken, err)
 		}
 		if err := p.accept(f, sink); err != nil {
@@ -62,19 +65,18 @@
 			return nil
 		}
 	}
-	if err := lines.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("%w: %w", ErrBroken, err)
 	}
 	return ErrBroken
 }
 
-// accept checks a frame's identity and position and passes it on.
+// accept passes a frame to the sink if it is the next one, and skips repeated frames.
 func (p *Progress) accept(f upstream.Frame, sink Sink) error {
 	if f.RequestID != p.ID || f.Position > p.Next {
-		// An engine or connection that mixes up two answers would show one
-		// caller another's text. Identity and position together leave no
-		// frame that could be taken for this answer's next one.
-		return &CrossedError{Want: p.ID, Got: f.RequestID, WantPos: p.Next, Position: f.Position}
+		// An engine or connection that mixes up two responses would show one caller another's text.
+		// Request ID and position together admit only the next frame of this response.
+		return &CrossedError{Want: p.ID, Got: f.RequestID, WantPosition: p.Next, GotPosition: f.Position}
 	}
 	if f.Position < p.Next {
 		return nil
@@ -87,7 +89,8 @@
 	return nil
 }
 
-// NeverSent reports whether an HTTP call's error proves that the request did not leave this host.
+// NeverSent reports whether an HTTP client's error proves that the request was not sent, because
+// the connection could not be established.
 func NeverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
