--- a/jackdawd/internal/ledger/executor.go
+++ b/jackdawd/internal/ledger/executor.go
@@ -18,35 +18,38 @@
 )
 
 const (
-	// executeWithin is how long after asking for a claim its execution may begin.
-	// The log must keep records many times as long.
-	executeWithin = 5 * time.Second
-	// maxKeptAnswer is the largest answer that is kept in the log for repeats.
-	maxKeptAnswer = 4 << 10
-	retryClaim    = 2 * time.Second
-	endTimeout    = 5 * time.Second
+	// executionStartTimeout is how long after its claim was requested a request may start
+	// executing. The log's retention must be many times as long.
+	executionStartTimeout = 5 * time.Second
+	// maxStoredResponseBytes is the size of the largest response stored in the log for
+	// duplicate requests.
+	maxStoredResponseBytes = 4 << 10
+	claimRetryAfter        = 2 * time.Second
+	endTimeout             = 5 * time.Second
 )
 
-// A Claims is the ledger as a claimant sees it, on this host or another.
-type Claims interface {
+// A Claimer claims keys and ends claims, on this host or through another one.
+type Claimer interface {
 	Claim(ctx context.Context, args peers.ClaimArgs) (peers.ClaimReply, error)
 	End(ctx context.Context, args peers.CloseArgs) error
 }
 
-// Run executes a request and passes its answer on; its error says whether it was run.
-type Run func(ctx context.Context, sink func(upstream.Frame) error) error
+// RunFunc executes a request and passes the response to sink. A *work.Refusal as its error
+// tells whether the request was executed.
+type RunFunc func(ctx context.Context, sink func(upstream.Frame) error) error
 
-// An Executor executes requests with an idempotency key at most once.
+// An Executor executes a request with an idempotency key at most once.
 type Executor struct {
-	claims Claims
+	claims Claimer
 }
 
-// NewExecutor returns an executor that claims keys from the ledger given.
-func NewExecutor(claims Claims) *Executor {
+// NewExecutor returns an executor that claims keys through claims.
+func NewExecutor(claims Claimer) *Executor {
 	return &Executor{claims: claims}
 }
 
-// A Request is what identifies a keyed request; nothing of it reaches the log but hashes.
+// A Request identifies a request with an idempotency key. Only hashes of it are written to
+// the log.
 type Request struct {
 	ID        string
 	Workspace string
@@ -54,38 +57,39 @@
 	Body      []byte
 }
 
-// Execute runs a request if its claim is the key's first, or passes on the answer kept.
-func (e *Executor) Execute(ctx context.Context, r Request, run Run, sink func(upstream.Frame) error) error {
-	asked := time.Now()
-	args := peers.ClaimArgs{Claim: newClaim(), Key: hash(r.Workspace, r.Key), Body: hash(string(r.Body))}
+// Execute runs a request if its claim is granted; otherwise it passes on the stored response
+// or returns a *work.Refusal.
+func (e *Executor) Execute(ctx context.Context, r Request, run RunFunc, sink func(upstream.Frame) error) error {
+	requestedAt := time.Now()
+	args := peers.ClaimArgs{Claim: newClaimID(), Key: hash(r.Workspace, r.Key), Body: hash(string(r.Body))}
 	reply, err := e.claims.Claim(ctx, args)
 	if err != nil {
 		e.end(args, peers.CloseArgs{Void: true})
-		return work.Refuse(http.StatusServiceUnavailable, work.LogUnavailable, "the key could not be claimed").Retry(retryClaim)
+		return work.Refuse(http.StatusServiceUnavailable, work.LogUnavailable, "the key could not be claimed").Retry(claimRetryAfter)
 	}
 	if reply.State != peers.Granted {
-		return replay(r, reply, sink)
+		return respondToDuplicate(r, reply, sink)
 	}
-	if time.Since(asked) > executeWithin || ctx.Err() != nil {
-		// A host that was paused may wake after the log has trimmed its claim
-		// and another host's claim has become the first. Only this host can
-		// execute this claim, so giving it up here proves that it was not run.
+	if time.Since(requestedAt) > executionStartTimeout || ctx.Err() != nil {
+		// A host that was paused may resume after retention removed its claim from the
+		// log and another host's claim was granted. Only this host can execute this
+		// claim, so voiding it here proves that the request was not executed.
 		e.end(args, peers.CloseArgs{Void: true})
-		return work.Refuse(http.StatusServiceUnavailable, work.LogUnavailable, "the claim came too late to be used").Retry(retryClaim)
+		return work.Refuse(http.StatusServiceUnavailable, work.LogUnavailable, "the claim came too late to be used").Retry(claimRetryAfter)
 	}
-	return e.run(ctx, args, run, sink)
+	return e.runAndRecord(ctx, args, run, sink)
 }
 
-func (e *Executor) run(ctx context.Context, args peers.ClaimArgs, run Run, sink func(upstream.Frame) error) error {
-	var kept keptAnswer
+func (e *Executor) runAndRecord(ctx context.Context, args peers.ClaimArgs, run RunFunc, sink func(upstream.Frame) error) error {
+	var response responseBuffer
 	err := run(ctx, func(f upstream.Frame) error {
-		kept.add(f)
+		response.add(f)
 		return sink(f)
 	})
 	var refusal *work.Refusal
 	switch {
 	case err == nil:
-		e.end(args, peers.CloseArgs{State: peers.Finished, Answer: kept.encode()})
+		e.end(args, peers.CloseArgs{State: peers.Finished, Answer: response.encode()})
 	case errors.As(err, &refusal) && refusal.Outcome == work.NotRun:
 		e.end(args, peers.CloseArgs{Void: true})
 	default:
@@ -94,30 +98,30 @@
 	return err
 }
 
-// end closes a claim. A close that is lost leaves the claim running, which
-// repeats see as in progress and later as uncertain: never as free.
-func (e *Executor) end(args peers.ClaimArgs, end peers.CloseArgs) {
-	end.Claim, end.Key, end.Body = args.Claim, args.Key, args.Body
+// end records the end of a claim in the background. If the record is lost, the claim stays
+// running: duplicates see it as in progress and later as uncertain, never as free.
+func (e *Executor) end(args peers.ClaimArgs, closeArgs peers.CloseArgs) {
+	closeArgs.Claim, closeArgs.Key, closeArgs.Body = args.Claim, args.Key, args.Body
 	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
 	go func() {
 		defer cancel()
-		if err := e.claims.End(ctx, end); err != nil {
-			logrus.WithError(err).Warn("ledger: The end of a claim was not recorded.")
+		if err := e.claims.End(ctx, closeArgs); err != nil {
+			logrus.WithError(err).Warn("ledger: Recording the end of a claim failed.")
 		}
 	}()
 }
 
-// replay answers a repeat of a request whose key another claim holds.
-func replay(r Request, reply peers.ClaimReply, sink func(upstream.Frame) error) error {
+// respondToDuplicate answers a request whose claim was not granted.
+func respondToDuplicate(r Request, reply peers.ClaimReply, sink func(upstream.Frame) error) error {
 	switch reply.State {
 	case peers.Unready:
-		return work.Refuse(http.StatusServiceUnavailable, work.LogUnavailable, "the ledger cannot be read now").Retry(retryClaim)
+		return work.Refuse(http.StatusServiceUnavailable, work.LogUnavailable, "the ledger cannot be read now").Retry(claimRetryAfter)
 	case peers.Mismatch:
 		return work.Refuse(http.StatusUnprocessableEntity, work.KeyReused, "the key was used for another request")
 	case peers.Running:
 		refusal := work.Refuse(http.StatusConflict, work.KeyInProgress, "the first request with this key has not ended")
 		refusal.Outcome = work.InProgress
-		return refusal.Retry(retryClaim)
+		return refusal.Retry(claimRetryAfter)
 	case peers.Finished:
 		var f upstream.Frame
 		if len(reply.Answer) > 0 && json.Unmarshal(reply.Answer, &f) == nil {
@@ -134,32 +138,32 @@
 	}
 }
 
-// keptAnswer joins an answer's frames into one, as long as it is small enough to keep.
-type keptAnswer struct {
+// responseBuffer joins a response's frames into one, up to maxStoredResponseBytes.
+type responseBuffer struct {
 	frame upstream.Frame
 	size  int
 }
 
-func (k *keptAnswer) add(f upstream.Frame) {
-	k.size += len(f.Text)
+func (b *responseBuffer) add(f upstream.Frame) {
+	b.size += len(f.Text)
 	if f.Answer != nil {
-		k.size += len(f.Answer.Body)
-		k.frame.Answer = f.Answer
+		b.size += len(f.Answer.Body)
+		b.frame.Answer = f.Answer
 	}
-	if k.size > maxKeptAnswer {
+	if b.size > maxStoredResponseBytes {
 		return
 	}
-	k.frame.Text += f.Text
-	k.frame.Finish = f.Finish
-	k.frame.PromptTokens += f.PromptTokens
-	k.frame.CachedTokens += f.CachedTokens
+	b.frame.Text += f.Text
+	b.frame.Finish = f.Finish
+	b.frame.PromptTokens += f.PromptTokens
+	b.frame.CachedTokens += f.CachedTokens
 }
 
-func (k *keptAnswer) encode() []byte {
-	if k.size > maxKeptAnswer || k.frame.Finish == "" {
+func (b *responseBuffer) encode() []byte {
+	if b.size > maxStoredResponseBytes || b.frame.Finish == "" {
 		return nil
 	}
-	data, err := json.Marshal(k.frame)
+	data, err := json.Marshal(b.frame)
 	if err != nil {
 		return nil
 	}
@@ -168,16 +172,18 @@
 
 func hash(parts ...string) string {
 	h := sha256.New()
-	for _, p := range parts {
-		// The length keeps apart what only together is the same text.
-		h.Write([]byte{byte(len(p) >> 8), byte(len(p))})
-		h.Write([]byte(p))
+	for _, part := range parts {
+		// The length prefix gives parts that differ but concatenate to the same text
+		// different hashes.
+		h.Write([]byte{byte(len(part) >> 8), byte(len(part))})
+		h.Write([]byte(part))
 	}
 	return base64.RawURLEncoding.EncodeToString(h.Sum(nil)[:16])
 }
 
-// newClaim returns an identity that no other claim has; in this form it takes the fewest bytes in the log.
-func newClaim() string {
+// newClaimID returns a unique claim ID, base64-encoded because that is shorter in the log than
+// a UUID's usual form.
+func newClaimID() string {
 	id := uuid.New()
 	return base64.RawURLEncoding.EncodeToString(id[:])
 }
