--- a/jackdawd/internal/entry/admin.go
+++ b/jackdawd/internal/entry/admin.go
@@ -13,76 +13,79 @@
 	"jackdawhinge/jackdawd/internal/placement"
 )
 
-// adminHandler returns the handler of metrics, status and explanations; nothing there changes anything.
+// adminHandler returns the handler for metrics, status and explanations of placements; all are
+// read-only.
 func (h *Host) adminHandler(metrics http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", metrics)
 	mux.HandleFunc("GET "+report.StatusPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, h.status()) })
 	mux.HandleFunc("GET "+report.ExplainPath, func(w http.ResponseWriter, r *http.Request) {
-		e, ok := h.explain(r.URL.Query().Get("model"), r.URL.Query().Get("chat"))
+		explanation, ok := h.explain(r.URL.Query().Get("model"), r.URL.Query().Get("chat"))
 		if !ok {
 			http.Error(w, "model: there is no such pool", http.StatusNotFound)
 			return
 		}
-		writeJSON(w, e)
+		writeJSON(w, explanation)
 	})
 	return mux
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A reader that has gone away needs no answer.
+	// An error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
 func (h *Host) status() report.Status {
-	snapshot := h.keeper.Snapshot()
-	s := report.Status{Host: h.options.Name, Ready: h.keeper.Ready() && !h.stopping.Load(), ListAge: targets.Duration(h.keeper.Age().Round(time.Millisecond)), StoreEra: h.source.StoreEra()}
+	snapshot := h.members.Snapshot()
+	status := report.Status{Host: h.options.Name, Ready: h.members.Ready() && !h.draining.Load(), ListAge: targets.Duration(h.members.Age().Round(time.Millisecond)), StoreEra: h.source.StoreEra()}
 	if c := snapshot.Configuration(); c != nil {
-		s.Revision = c.Version()
+		status.Revision = c.Version()
 	}
 	for name, pool := range snapshot.Pools() {
-		s.Upstreams = append(s.Upstreams, h.describe(name, pool)...)
+		status.Upstreams = append(status.Upstreams, h.describeUpstreams(name, pool)...)
 	}
-	s.Quarantined = h.quarantined()
-	s.Sort()
-	return s
+	status.Quarantined = h.quarantinedRequests()
+	status.Sort()
+	return status
 }
 
-// quarantined returns the requests that are kept from upstreams.
-func (h *Host) quarantined() []report.Quarantined {
+// quarantinedRequests returns the requests that are not sent to upstreams because they crash
+// them.
+func (h *Host) quarantinedRequests() []report.Quarantined {
 	now := time.Now()
-	var out []report.Quarantined
+	var requests []report.Quarantined
 	for _, r := range h.quarantine.AllBarred(now) {
 		left, _ := h.quarantine.Barred(now, r.Request)
-		out = append(out, report.Quarantined{Fingerprint: r.Request.String(), Crashes: len(r.Crashes), Left: targets.Duration(left.Round(time.Second))})
+		requests = append(requests, report.Quarantined{Fingerprint: r.Request.String(), Crashes: len(r.Crashes), Left: targets.Duration(left.Round(time.Second))})
 	}
-	return out
+	return requests
 }
 
-func (h *Host) describe(pool string, upstreams []*traffic.Upstream) []report.Upstream {
+func (h *Host) describeUpstreams(pool string, upstreams []*traffic.Upstream) []report.Upstream {
 	loads := h.loads.All(time.Now(), upstreams)
 	mean := placement.Choice{Loads: loads}.Mean()
-	out := make([]report.Upstream, len(upstreams))
+	reports := make([]report.Upstream, len(upstreams))
 	for i, u := range upstreams {
-		out[i] = report.Upstream{
+		reports[i] = report.Upstream{
 			Name: u.ID, Model: pool, FailureDomain: u.FailureDomain, Load: int64(loads[i].Requests()), Known: true, Mean: mean, Limit: int64(u.Slots),
 		}
 	}
-	return out
+	return reports
 }
 
-// explain returns the upstreams that a prompt's shared part is placed at, first choice first.
-func (h *Host) explain(pool, part string) (report.Explanation, bool) {
-	upstreams, ok := h.keeper.Snapshot().Pools()[pool]
+// explain returns the first candidates for a shared part of a prompt, by descending rendezvous
+// rank, or false if there is no such pool.
+func (h *Host) explain(pool, sharedPart string) (report.Explanation, bool) {
+	upstreams, ok := h.members.Snapshot().Pools()[pool]
 	if !ok {
 		return report.Explanation{}, false
 	}
-	e := report.Explanation{Host: h.options.Name, Model: pool, Multiple: h.bounds.Load().LoadMultiple}
-	ranked := placement.Rank(xxhash.Sum64String(part), upstreams)
-	e.Candidates = h.describe(pool, ranked[:min(len(ranked), explained)])
-	return e, true
+	explanation := report.Explanation{Host: h.options.Name, Model: pool, Multiple: h.bounds.Load().LoadMultiple}
+	ranked := placement.Rank(xxhash.Sum64String(sharedPart), upstreams)
+	explanation.Candidates = h.describeUpstreams(pool, ranked[:min(len(ranked), maxExplainedCandidates)])
+	return explanation, true
 }
 
-// explained is how many candidates an explanation shows.
-const explained = 4
+// maxExplainedCandidates is how many candidates an explanation lists.
+const maxExplainedCandidates = 4
--- /dev/null
+++ b/jackdawd/internal/entry/callerconns.go
@@ -0,0 +1,103 @@
+package entry
+
+import (
+	"container/list"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+)
+
+const (
+	// idleTimeoutMargin is added to the configured idle timeout, so that a request sent just before
+	// the timeout does not reach a closed connection.
+	idleTimeoutMargin = time.Second
+	// callerSocketRatio is the ratio of a host's sockets that callers' connections may use.
+	// Connections to upstreams, other hosts and the store need at most a tenth. When no socket is
+	// left, the server stops accepting for up to a second while requests wait unread.
+	callerSocketRatio = 0.75
+)
+
+// maxCallerConns returns the maximum number of callers' connections for a maximum number of
+// sockets.
+func maxCallerConns(sockets int) int { return int(callerSocketRatio * float64(sockets)) }
+
+// callerConns tracks callers' connections. It closes those that exceed the idle timeout and, if too
+// many are open, the one idle for longest. It replaces http.Server.IdleTimeout, which cannot change
+// while the server runs, as the configured timeout does.
+type callerConns struct {
+	mu      sync.Mutex
+	maxOpen int
+	open    int
+	// idle lists the connections without a request, the one idle for longest first; elements
+	// maps each to its list element.
+	idle     *list.List
+	elements map[net.Conn]*list.Element
+}
+
+// idleConn is an idle connection and the time since which it has been idle.
+type idleConn struct {
+	net.Conn
+	since time.Time
+}
+
+// newCallerConns returns a callerConns that limits the number of open connections to maxOpen.
+func newCallerConns(maxOpen int) *callerConns {
+	return &callerConns{maxOpen: maxOpen, idle: list.New(), elements: map[net.Conn]*list.Element{}}
+}
+
+// count returns the number of open connections.
+func (c *callerConns) count() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return int64(c.open)
+}
+
+// setState records a connection's new state; it is the server's ConnState callback. A new
+// connection beyond maxOpen closes the one idle for longest, if any is idle.
+func (c *callerConns) setState(conn net.Conn, state http.ConnState) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.remove(conn)
+	switch state {
+	case http.StateNew:
+		c.open++
+		if oldest := c.idle.Front(); oldest != nil && c.open > c.maxOpen {
+			c.close(oldest.Value.(idleConn))
+		}
+		c.elements[conn] = c.idle.PushBack(idleConn{conn, time.Now()})
+	case http.StateIdle:
+		c.elements[conn] = c.idle.PushBack(idleConn{conn, time.Now()})
+	case http.StateClosed, http.StateHijacked:
+		c.open--
+	}
+}
+
+// remove removes a connection from the idle list; the lock must be held.
+func (c *callerConns) remove(conn net.Conn) {
+	if e, ok := c.elements[conn]; ok {
+		c.idle.Remove(e)
+		delete(c.elements, conn)
+	}
+}
+
+// close closes an idle connection; the lock must be held.
+func (c *callerConns) close(conn idleConn) {
+	// The connection is dropped, so an error changes nothing.
+	_ = conn.Close()
+	c.remove(conn.Conn)
+}
+
+// closeExpired closes the connections that were idle for longer than the timeout plus
+// idleTimeoutMargin.
+func (c *callerConns) closeExpired(now time.Time, timeout time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for e := c.idle.Front(); e != nil; e = c.idle.Front() {
+		conn := e.Value.(idleConn)
+		if now.Sub(conn.since) <= timeout+idleTimeoutMargin {
+			return
+		}
+		c.close(conn)
+	}
+}
--- a/jackdawd/internal/entry/gauges.go
+++ b/jackdawd/internal/entry/gauges.go
@@ -8,29 +8,29 @@
 	"jackdawhinge/jackdawd/internal/telemetry"
 )
 
-// mostUpstreams bounds the upstreams that metrics name.
-const mostUpstreams = 200
+// maxNamedUpstreams is the maximum number of upstreams that metrics list by name.
+const maxNamedUpstreams = 200
 
-// registerGauges registers the values that are read when metrics are collected.
+// registerGauges registers the gauges, whose values are read when metrics are collected.
 func (h *Host) registerGauges(m *telemetry.Meter) {
 	m.Gauge("requests_in_progress", h.handler.InProgress)
-	m.Gauge("caller_connections", h.idle.count)
+	m.Gauge("caller_connections", h.conns.count)
 	m.Gauge("upstream_connections_opened", h.client.Dialed)
-	m.Gauge("configuration_age_milliseconds", func() int64 { return min(h.keeper.Age(), time.Hour).Milliseconds() })
+	m.Gauge("configuration_age_milliseconds", func() int64 { return min(h.members.Age(), time.Hour).Milliseconds() })
 	m.Gauge("upstream_list_age_milliseconds", func() int64 { return min(h.source.ListAge(), time.Hour).Milliseconds() })
-	m.Gauge("out_of_touch_milliseconds", func() int64 { return h.keeper.OutOfTouch().Milliseconds() })
-	m.Gauge("configuration_late_milliseconds", func() int64 { return h.keeper.Late().Milliseconds() })
+	m.Gauge("out_of_touch_milliseconds", func() int64 { return h.members.OutOfTouch().Milliseconds() })
+	m.Gauge("configuration_late_milliseconds", func() int64 { return h.members.Late().Milliseconds() })
 	m.Gauge("requests_suspected", func() int64 {
-		remembered, _ := h.quarantine.Counts()
-		return int64(remembered)
+		suspected, _ := h.quarantine.Counts()
+		return int64(suspected)
 	})
 	m.Gauge("requests_quarantined", func() int64 {
-		_, barred := h.quarantine.Counts()
-		return int64(barred)
+		_, quarantined := h.quarantine.Counts()
+		return int64(quarantined)
 	})
 	m.Gauge("fleet_bytes", h.source.Bytes)
 	m.Gauge("fleet_hosts", func() int64 {
-		return int64(h.hosts())
+		return int64(h.hostCount())
 	})
 	m.Gauge("store_era", h.source.StoreEra)
 	m.Gauge("store_restores", h.source.Restores)
@@ -41,49 +41,49 @@
 		return 0
 	})
 	m.Gauge("ready", func() int64 {
-		if h.keeper.Ready() && !h.stopping.Load() {
+		if h.members.Ready() && !h.draining.Load() {
 			return 1
 		}
 		return 0
 	})
 	m.Gauge("configuration_version", func() int64 {
-		if c := h.keeper.Snapshot().Configuration(); c != nil {
+		if c := h.members.Snapshot().Configuration(); c != nil {
 			return c.Version()
 		}
 		return 0
 	})
 	m.Family("retries_left", "pool", h.budgets.Left)
 	m.Family("pool_upstreams", "pool", h.poolSizes)
-	m.Family("pool_load_bound", "pool", h.poolBounds)
+	m.Family("pool_load_bound", "pool", h.poolLoadBounds)
 	m.Family("upstream_requests", "upstream", h.upstreamRequests)
 	m.Family("upstreams_avoided", "pool", h.poolAvoided)
 }
 
 func (h *Host) poolSizes() map[string]int64 {
 	sizes := map[string]int64{}
-	for name, pool := range h.keeper.Snapshot().Pools() {
+	for name, pool := range h.members.Snapshot().Pools() {
 		sizes[name] = int64(len(pool))
 	}
 	return sizes
 }
 
-// poolBounds returns how many requests an upstream of each pool may have.
-func (h *Host) poolBounds() map[string]int64 {
+// poolLoadBounds returns the maximum load of an upstream, in requests, by pool.
+func (h *Host) poolLoadBounds() map[string]int64 {
 	bounds, now := map[string]int64{}, time.Now()
-	spread := h.balancer.Spread(now)
-	for name, pool := range h.keeper.Snapshot().Pools() {
-		choice := placement.Choice{Loads: h.loads.All(now, pool), Multiple: h.bounds.Load().LoadMultiple, Spread: spread, Pool: name}
+	plan := h.balancer.Spread(now)
+	for name, pool := range h.members.Snapshot().Pools() {
+		choice := placement.Choice{Loads: h.loads.All(now, pool), Multiple: h.bounds.Load().LoadMultiple, Spread: plan, Pool: name}
 		bounds[name] = int64(choice.Limit())
 	}
 	return bounds
 }
 
 func (h *Host) poolAvoided() map[string]int64 {
-	s := h.keeper.Snapshot()
+	snapshot := h.members.Snapshot()
 	avoided := map[string]int64{}
-	for name, pool := range s.Pools() {
+	for name, pool := range snapshot.Pools() {
 		for _, u := range pool {
-			if s.Avoided(u.ID) {
+			if snapshot.Avoided(u.ID) {
 				avoided[name]++
 			}
 		}
@@ -91,24 +91,25 @@
 	return avoided
 }
 
-// upstreamRequests returns the requests that each upstream is thought to have. Beyond
-// a bound upstreams are summed up, so that a large fleet's metrics stay small.
+// upstreamRequests returns the estimated requests in progress by upstream. Upstreams beyond
+// maxNamedUpstreams are summed up under one name, which limits the size of a large fleet's
+// metrics.
 func (h *Host) upstreamRequests() map[string]int64 {
 	requests := map[string]int64{}
-	others, rest := int64(0), 0
-	for _, pool := range h.keeper.Snapshot().Pools() {
+	otherRequests, otherCount := int64(0), 0
+	for _, pool := range h.members.Snapshot().Pools() {
 		for _, u := range pool {
 			load := int64(h.loads.Estimate(time.Now(), u))
-			if len(requests) < mostUpstreams {
+			if len(requests) < maxNamedUpstreams {
 				requests[u.ID] = load
 				continue
 			}
-			others += load
-			rest++
+			otherRequests += load
+			otherCount++
 		}
 	}
-	if rest > 0 {
-		requests["other-"+strconv.Itoa(rest)] = others
+	if otherCount > 0 {
+		requests["other-"+strconv.Itoa(otherCount)] = otherRequests
 	}
 	return requests
 }
--- a/jackdawd/internal/entry/uptime.go
+++ b/jackdawd/internal/entry/uptime.go
@@ -6,14 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// uptime is a steady clock that also counts the time for which the host was
-// suspended. Go's clock does not, so that after a suspension a host would go on
-// honoring keys that were revoked meanwhile.
+// uptime returns the time since boot, including the time for which the host was suspended. Go's
+// monotonic clock excludes that time, so after a suspension a host would keep accepting keys
+// that were revoked in the meantime.
 func uptime() time.Duration {
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Every kernel that this runs on has the clock.
+	var ts unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
+		// All supported kernels have CLOCK_BOOTTIME.
 		panic(err)
 	}
-	return time.Duration(t.Nano())
+	return time.Duration(ts.Nano())
 }
