--- a/jackdawd/internal/ledger/manager.go
+++ b/jackdawd/internal/ledger/manager.go
@@ -38,7 +38,7 @@
 // ErrClosed is returned when a claim's end arrives after the ledger was closed.
 var ErrClosed = errors.New("ledger is closed")
 
-// NewKeeper returns a Keeper that has opened no partition.
+// NewKeeper returns a manager without open partitions.
 func NewKeeper(log Log) *Keeper {
 	return &Keeper{log: log, partitions: map[uint64]*Partition{}, owned: map[uint64]bool{}}
 }
