--- a/jackdawd/internal/intake/body.go
+++ b/jackdawd/internal/intake/body.go
@@ -12,31 +12,33 @@
 	"jackdawhinge/jackdawd/internal/work"
 )
 
-// readBody returns the request's body, or a refusal if it is too large or too slow in coming.
+// readBody returns the request's body, or a refusal if the body is too large or arrives too slowly.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *work.Refusal) {
-	control := http.NewResponseController(w)
-	// A caller that sends a byte a minute would hold a connection and its memory for ever.
-	if err := control.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
+	controller := http.NewResponseController(w)
+	// Without a deadline, a caller that sends one byte per minute would hold its connection and
+	// memory forever.
+	if err := controller.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
 		return nil, work.Refuse(http.StatusInternalServerError, work.BadRequest, "the connection takes no deadline")
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.maxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, work.Refuse(http.StatusRequestEntityTooLarge, work.TooLarge, "the body is larger than %d bytes", h.maxBody)
+		return nil, work.Refuse(http.StatusRequestEntityTooLarge, work.TooLarge, "the body is larger than %d bytes", h.maxBodyBytes)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, work.Refuse(http.StatusRequestTimeout, work.TooSlow, "the body did not come within %s", bodyTimeout)
 	case err != nil:
 		return nil, work.Refuse(http.StatusBadRequest, work.BadRequest, "the body cannot be read")
 	}
-	if err := control.SetReadDeadline(time.Time{}); err != nil {
+	if err := controller.SetReadDeadline(time.Time{}); err != nil {
 		return nil, work.Refuse(http.StatusInternalServerError, work.BadRequest, "the connection takes no deadline")
 	}
 	return body, nil
 }
 
-// chatBody is a chat-completions request; fields that it does not name go to the engine as they are.
-type chatBody struct {
+// chatRequest is the body of a chat-completions request. Its options are the fields that intake does
+// not know; they are passed to the engine unchanged.
+type chatRequest struct {
 	model     string
 	messages  []upstream.Message
 	maxTokens int
@@ -44,31 +46,31 @@
 	options   map[string]json.RawMessage
 }
 
-func parseChat(body []byte) (chatBody, *work.Refusal) {
+func parseChatRequest(body []byte) (chatRequest, *work.Refusal) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return chatBody{}, work.Refuse(http.StatusBadRequest, work.BadRequest, "the body is no JSON object: %v", err)
+		return chatRequest{}, work.Refuse(http.StatusBadRequest, work.BadRequest, "the body is no JSON object: %v", err)
 	}
-	var c chatBody
+	var chat chatRequest
 	known := []struct {
 		name string
-		to   any
-	}{{"model", &c.model}, {"messages", &c.messages}, {"max_tokens", &c.maxTokens}, {"stream", &c.stream}}
-	for _, k := range known {
-		raw, ok := fields[k.name]
+		dest any
+	}{{"model", &chat.model}, {"messages", &chat.messages}, {"max_tokens", &chat.maxTokens}, {"stream", &chat.stream}}
+	for _, field := range known {
+		raw, ok := fields[field.name]
 		if !ok {
 			continue
 		}
-		if err := json.Unmarshal(raw, k.to); err != nil {
-			return chatBody{}, work.Refuse(http.StatusBadRequest, work.BadRequest, "%s: %v", k.name, err)
+		if err := json.Unmarshal(raw, field.dest); err != nil {
+			return chatRequest{}, work.Refuse(http.StatusBadRequest, work.BadRequest, "%s: %v", field.name, err)
 		}
-		delete(fields, k.name)
+		delete(fields, field.name)
 	}
-	c.options = fields
-	return c, c.check()
+	chat.options = fields
+	return chat, chat.check()
 }
 
-func (c chatBody) check() *work.Refusal {
+func (c chatRequest) check() *work.Refusal {
 	switch {
 	case c.model == "":
 		return work.Refuse(http.StatusBadRequest, work.BadRequest, "model: is missing")
--- a/jackdawd/internal/intake/chat.go
+++ b/jackdawd/internal/intake/chat.go
@@ -15,14 +15,14 @@
 
 // ServeChat answers a chat-completions request.
 func (h *Handler) ServeChat(w http.ResponseWriter, r *http.Request) {
-	if refusal := h.enter(); refusal != nil {
+	if refusal := h.acquireSlot(); refusal != nil {
 		refusal.Write(w)
 		return
 	}
-	defer h.leave()
-	item, c, body, stream, refusal := h.chatItem(w, r)
+	defer h.releaseSlot()
+	item, c, body, stream, refusal := h.readChatRequest(w, r)
 	if refusal != nil {
-		h.meter.Refused(c.class, refusal)
+		h.meter.Refused(c.className, refusal)
 		refusal.Write(w)
 		return
 	}
@@ -31,11 +31,13 @@
 		h.serve(r, c, item, body, newEventWriter(w, item))
 		return
 	}
-	answer := &wholeWriter{w: w, item: item}
-	h.serve(r, c, item, body, answer)
+	response := &jsonWriter{w: w, item: item}
+	h.serve(r, c, item, body, response)
 }
 
-func (h *Handler) chatItem(w http.ResponseWriter, r *http.Request) (item *work.Item, c caller, body []byte, stream bool, refusal *work.Refusal) {
+// readChatRequest returns the work item, caller and body of a chat-completions request, and whether
+// the response is to be streamed.
+func (h *Handler) readChatRequest(w http.ResponseWriter, r *http.Request) (item *work.Item, c caller, body []byte, stream bool, refusal *work.Refusal) {
 	if r.Method != http.MethodPost {
 		return nil, c, nil, false, work.Refuse(http.StatusMethodNotAllowed, work.BadRequest, "only POST is answered here")
 	}
@@ -47,26 +49,26 @@
 	if refusal != nil {
 		return nil, c, nil, false, refusal
 	}
-	chat, refusal := parseChat(body)
+	chat, refusal := parseChatRequest(body)
 	if refusal != nil {
 		return nil, c, nil, false, refusal
 	}
-	if pool, ok := h.views().Pool(chat.model); !ok || pool.Kind() != targets.Engine {
+	if pool, ok := h.view().Pool(chat.model); !ok || pool.Kind() != targets.Engine {
 		return nil, c, nil, false, work.Refuse(http.StatusNotFound, work.UnknownModel, "model: there is no model %q", chat.model)
 	}
-	id := r.Header.Get(ChatHeader)
-	if id == "" {
-		// A request without a chat comes back to nothing, so any place will do.
-		id = uuid.NewString()
+	chatID := r.Header.Get(ChatHeader)
+	if chatID == "" {
+		// Without a chat there is no cached prompt to return to, so any upstream will do.
+		chatID = uuid.NewString()
 	}
-	item = c.item(chat.model, id)
+	item = c.newItem(chat.model, chatID)
 	item.Messages, item.MaxTokens, item.Options = chat.messages, chat.maxTokens, chat.options
 	return item, c, body, chat.stream, nil
 }
 
-// The JSON shapes of chat completions.
+// The JSON bodies of chat completions; completion is both a whole response and a streamed chunk.
 type (
-	chunk struct {
+	completion struct {
 		ID      string   `json:"id"`
 		Object  string   `json:"object"`
 		Model   string   `json:"model"`
@@ -90,120 +92,120 @@
 	}
 )
 
-// tally sums up an answer's usage.
-type tally struct {
+// usageCounter adds up the token usage of a response.
+type usageCounter struct {
 	prompt, cached, completion int
 }
 
-func (t *tally) add(f upstream.Frame) {
-	t.prompt += f.PromptTokens
-	t.cached += f.CachedTokens
-	t.completion++
+func (u *usageCounter) add(f upstream.Frame) {
+	u.prompt += f.PromptTokens
+	u.cached += f.CachedTokens
+	u.completion++
 }
 
-func (t *tally) usage() *usage {
+func (u *usageCounter) totals() *usage {
 	return &usage{
-		PromptTokens:     t.prompt,
-		CompletionTokens: t.completion,
-		TotalTokens:      t.prompt + t.completion,
-		Details:          tokenDetails{CachedTokens: t.cached},
+		PromptTokens:     u.prompt,
+		CompletionTokens: u.completion,
+		TotalTokens:      u.prompt + u.completion,
+		Details:          tokenDetails{CachedTokens: u.cached},
 	}
 }
 
-const assistant = "assistant"
+const assistantRole = "assistant"
 
-// eventWriter writes an answer as server-sent events.
+// eventWriter writes a response as server-sent events.
 type eventWriter struct {
-	w     http.ResponseWriter
-	out   *http.ResponseController
-	item  *work.Item
-	tally tally
-	begun bool
-	buf   []byte
-	chunk chunk
-	delta upstream.Message
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	item       *work.Item
+	usage      usageCounter
+	started    bool
+	buf        []byte
+	chunk      completion
+	delta      upstream.Message
 }
 
 func newEventWriter(w http.ResponseWriter, item *work.Item) *eventWriter {
-	e := &eventWriter{w: w, out: http.NewResponseController(w), item: item}
-	e.delta.Role = assistant
-	e.chunk = chunk{ID: item.ID, Object: "chat.completion.chunk", Model: item.Model, Choices: []choice{{Delta: &e.delta}}}
+	e := &eventWriter{w: w, controller: http.NewResponseController(w), item: item}
+	e.delta.Role = assistantRole
+	e.chunk = completion{ID: item.ID, Object: "chat.completion.chunk", Model: item.Model, Choices: []choice{{Delta: &e.delta}}}
 	return e
 }
 
-func (e *eventWriter) frame(f upstream.Frame) error {
-	if !e.begun {
+func (e *eventWriter) writeFrame(f upstream.Frame) error {
+	if !e.started {
 		e.w.Header().Set("Content-Type", "text/event-stream")
 		e.w.Header().Set("Cache-Control", "no-store")
-		e.begun = true
+		e.started = true
 	}
-	e.tally.add(f)
+	e.usage.add(f)
 	e.delta.Content = f.Text
 	if f.Finish != "" {
 		e.chunk.Choices[0].FinishReason = &f.Finish
-		e.chunk.Usage = e.tally.usage()
+		e.chunk.Usage = e.usage.totals()
 	}
 	data, err := json.Marshal(&e.chunk)
 	if err != nil {
 		return err
 	}
-	end := ""
+	trailer := ""
 	if f.Finish != "" {
-		// Only a whole answer ends with this marker: a caller that does not
-		// see it knows that its answer was cut.
-		end = "data: [DONE]\n\n"
+		// Only a complete response ends with this marker, so a caller can detect a
+		// truncated one.
+		trailer = "data: [DONE]\n\n"
 	}
-	return e.write(data, end)
+	return e.writeEvent(data, trailer)
 }
 
-func (e *eventWriter) write(data []byte, end string) error {
+func (e *eventWriter) writeEvent(data []byte, trailer string) error {
 	e.buf = append(e.buf[:0], "data: "...)
 	e.buf = append(e.buf, data...)
 	e.buf = append(e.buf, "\n\n"...)
-	e.buf = append(e.buf, end...)
-	// A caller that stops reading would hold the upstream's slot for ever.
-	if err := e.out.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+	e.buf = append(e.buf, trailer...)
+	// Without a deadline, a caller that stops reading would hold the upstream's slot forever.
+	if err := e.controller.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
 	if _, err := e.w.Write(e.buf); err != nil {
 		return err
 	}
-	return e.out.Flush()
+	return e.controller.Flush()
 }
 
-func (e *eventWriter) refuse(r *work.Refusal) {
-	if !e.begun {
+func (e *eventWriter) writeRefusal(r *work.Refusal) {
+	if !e.started {
 		r.Write(e.w)
 		return
 	}
 	if _, err := e.w.Write([]byte("event: error\n")); err != nil {
 		return
 	}
-	// A caller that has gone away needs no error.
-	_ = e.write(r.Body(), "")
+	// An error means that the caller has disconnected.
+	_ = e.writeEvent(r.Body(), "")
 }
 
-// wholeWriter writes an answer as one JSON body.
-type wholeWriter struct {
+// jsonWriter writes a response as one JSON body.
+type jsonWriter struct {
 	w     http.ResponseWriter
 	item  *work.Item
-	tally tally
+	usage usageCounter
 	text  strings.Builder
 }
 
-func (a *wholeWriter) frame(f upstream.Frame) error {
-	a.tally.add(f)
-	a.text.WriteString(f.Text)
+func (j *jsonWriter) writeFrame(f upstream.Frame) error {
+	j.usage.add(f)
+	j.text.WriteString(f.Text)
 	if f.Finish == "" {
 		return nil
 	}
-	a.w.Header().Set("Content-Type", "application/json")
-	return json.NewEncoder(a.w).Encode(chunk{
-		ID: a.item.ID, Object: "chat.completion", Model: a.item.Model, Usage: a.tally.usage(),
-		Choices: []choice{{Message: &upstream.Message{Role: assistant, Content: a.text.String()}, FinishReason: &f.Finish}},
+	j.w.Header().Set("Content-Type", "application/json")
+	return json.NewEncoder(j.w).Encode(completion{
+		ID: j.item.ID, Object: "chat.completion", Model: j.item.Model, Usage: j.usage.totals(),
+		Choices: []choice{{Message: &upstream.Message{Role: assistantRole, Content: j.text.String()}, FinishReason: &f.Finish}},
 	})
 }
 
-func (a *wholeWriter) refuse(r *work.Refusal) {
-	r.Write(a.w)
+func (j *jsonWriter) writeRefusal(r *work.Refusal) {
+	r.Write(j.w)
 }
--- a/jackdawd/internal/intake/doc.go
+++ b/jackdawd/internal/intake/doc.go
@@ -1,3 +1,5 @@
-// Package intake is the callers' interface: it authenticates a request, turns
-// it into an item of work and writes the answer or a typed refusal.
+// Package intake is the HTTP interface for callers. It authenticates a request, checks that its
+// workspace may use its class, limits its size and the number of requests in progress, turns it
+// into a work item and writes the response or a typed refusal. Requests of non-idempotent classes
+// run through the ledger. Package node registers its handlers.
 package intake
--- a/jackdawd/internal/intake/handler.go
+++ b/jackdawd/internal/intake/handler.go
@@ -33,133 +33,135 @@
 )
 
 const (
-	// bodyTimeout is how long a caller may take to send its request.
+	// bodyTimeout is how long a caller may take to send the body of its request.
 	bodyTimeout = 15 * time.Second
-	// writeTimeout is how long a caller may take to accept one piece of its answer.
+	// writeTimeout is how long a caller may take to receive one event of its response.
 	writeTimeout = 15 * time.Second
 	maxKeyBytes  = 255
-	// maxInProgress bounds the requests that one host has in progress, and so its
-	// memory: ten times what a host has at the size that the fleet is made for.
-	maxInProgress = 8192
-	retryWhenFull = 2 * time.Second
+	// maxInProgress is the maximum number of requests in progress on a host, which limits its memory.
+	// It is ten times the number on a host of a fleet of the size it is designed for.
+	maxInProgress      = 8192
+	overloadRetryAfter = 2 * time.Second
 )
 
-// A Router brings an item's answer to a sink.
+// A Router routes an item to an upstream and passes the response to sink.
 type Router interface {
 	Route(ctx context.Context, item *work.Item, sink delivery.Sink) error
 }
 
-// A Meter counts what callers were given.
+// A Meter records responses and refusals.
 type Meter interface {
 	Answered(class string, target, firstToken, total time.Duration)
 	Refused(class string, refusal *work.Refusal)
 }
 
-// A Handler answers callers.
+// A Handler serves requests of callers.
 type Handler struct {
-	views    func() *routing.View
-	router   Router
-	executor *ledger.Executor
-	meter    Meter
-	maxBody  int64
-	tracer   trace.Tracer
-	slots    chan struct{}
+	view         func() *routing.View
+	router       Router
+	executor     *ledger.Executor
+	meter        Meter
+	maxBodyBytes int64
+	tracer       trace.Tracer
+	slots        chan struct{}
 }
 
-// NewHandler returns a handler that passes work to the router.
-func NewHandler(views func() *routing.View, router Router, executor *ledger.Executor, meter Meter, maxBody int64) *Handler {
+// NewHandler returns a handler that routes requests with the router, those of non-idempotent classes
+// through the executor. It refuses bodies of more than maxBodyBytes.
+func NewHandler(view func() *routing.View, router Router, executor *ledger.Executor, meter Meter, maxBodyBytes int64) *Handler {
 	return &Handler{
-		views: views, router: router, executor: executor, meter: meter, maxBody: maxBody,
+		view: view, router: router, executor: executor, meter: meter, maxBodyBytes: maxBodyBytes,
 		tracer: otel.Tracer("jackdawd/intake"), slots: make(chan struct{}, maxInProgress),
 	}
 }
 
-// enter takes a slot, or refuses: a crowd must not take the host down with it. The
-// slot is given back by leave.
-func (h *Handler) enter() *work.Refusal {
+// acquireSlot takes a slot for a request, or returns a refusal if none is free, so that a surge
+// cannot exhaust the host's memory. Each slot taken must be released with releaseSlot.
+func (h *Handler) acquireSlot() *work.Refusal {
 	select {
 	case h.slots <- struct{}{}:
 		return nil
 	default:
-		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "the host has too many requests in progress").Retry(retryWhenFull)
+		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "the host has too many requests in progress").Retry(overloadRetryAfter)
 	}
 }
 
-func (h *Handler) leave() {
+func (h *Handler) releaseSlot() {
 	<-h.slots
 }
 
-// caller is who asks, and for which class of work.
+// caller is the workspace that sent a request, and the class of the request.
 type caller struct {
 	workspace string
-	class     string
-	target    targets.Class
+	className string
+	class     targets.Class
 }
 
-// authenticate returns the caller of a request.
+// authenticate returns the caller of a request, or a refusal if the token is wrong, the workspace may
+// not use the class, or the idempotency key is missing or too long.
 func (h *Handler) authenticate(r *http.Request) (caller, *work.Refusal) {
-	doc := h.views().Document()
-	name := r.Header.Get(WorkspaceHeader)
+	doc := h.view().Document()
+	workspaceName := r.Header.Get(WorkspaceHeader)
 	token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	ws, ok := doc.Workspaces[name]
-	if !ok || !ws.Authenticates(token) {
+	workspace, ok := doc.Workspaces[workspaceName]
+	if !ok || !workspace.Authenticates(token) {
 		return caller{}, work.Refuse(http.StatusUnauthorized, work.Unauthenticated, "the workspace or its token is wrong")
 	}
-	class := r.Header.Get(ClassHeader)
-	target, ok := doc.Classes[class]
+	className := r.Header.Get(ClassHeader)
+	class, ok := doc.Classes[className]
 	if !ok {
-		return caller{}, work.Refuse(http.StatusBadRequest, work.UnknownClass, "%s: there is no class %q", ClassHeader, class)
+		return caller{}, work.Refuse(http.StatusBadRequest, work.UnknownClass, "%s: there is no class %q", ClassHeader, className)
 	}
-	if !ws.Allows(class) {
-		return caller{}, work.Refuse(http.StatusForbidden, work.Forbidden, "%s: the workspace may not use class %q", ClassHeader, class)
+	if !workspace.Allows(className) {
+		return caller{}, work.Refuse(http.StatusForbidden, work.Forbidden, "%s: the workspace may not use class %q", ClassHeader, className)
 	}
-	if !target.Idempotent && r.Header.Get(KeyHeader) == "" {
-		return caller{}, work.Refuse(http.StatusBadRequest, work.KeyMissing, "%s: requests of class %q need one", KeyHeader, class)
+	if !class.Idempotent && r.Header.Get(KeyHeader) == "" {
+		return caller{}, work.Refuse(http.StatusBadRequest, work.KeyMissing, "%s: requests of class %q need one", KeyHeader, className)
 	}
 	if len(r.Header.Get(KeyHeader)) > maxKeyBytes {
 		return caller{}, work.Refuse(http.StatusBadRequest, work.BadRequest, "%s: is longer than %d bytes", KeyHeader, maxKeyBytes)
 	}
-	return caller{workspace: name, class: class, target: target}, nil
+	return caller{workspace: workspaceName, className: className, class: class}, nil
 }
 
-// item returns the item of work common to chats and services.
-func (c caller) item(model, chat string) *work.Item {
+// newItem returns a work item with the fields common to chats and services.
+func (c caller) newItem(model, chat string) *work.Item {
 	return &work.Item{
 		ID:          uuid.NewString(),
 		Workspace:   c.workspace,
-		Class:       c.class,
+		Class:       c.className,
 		Chat:        routing.ChatHash(c.workspace, chat),
 		Model:       model,
-		Idempotent:  c.target.Idempotent,
-		Urgency:     c.target.Urgency,
-		Target:      time.Duration(c.target.FirstTokenWithin),
-		BeginWithin: time.Duration(c.target.FirstTokenWithin),
+		Idempotent:  c.class.Idempotent,
+		Urgency:     c.class.Urgency,
+		Target:      time.Duration(c.class.FirstTokenWithin),
+		BeginWithin: time.Duration(c.class.FirstTokenWithin),
 	}
 }
 
-// writer writes one answer in the form that its caller asked for.
-type writer interface {
-	frame(f upstream.Frame) error
-	refuse(r *work.Refusal)
+// responseWriter writes one response in the form that the caller requested.
+type responseWriter interface {
+	writeFrame(f upstream.Frame) error
+	writeRefusal(r *work.Refusal)
 }
 
-// serve runs an item and writes its answer.
-func (h *Handler) serve(r *http.Request, c caller, item *work.Item, body []byte, w writer) {
-	begin := time.Now()
+// serve executes an item and writes its response.
+func (h *Handler) serve(r *http.Request, c caller, item *work.Item, body []byte, w responseWriter) {
+	start := time.Now()
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := h.tracer.Start(ctx, "intake", trace.WithAttributes(
-		attribute.String("request", item.ID), attribute.String("class", c.class), attribute.String("model", item.Model)))
+		attribute.String("request", item.ID), attribute.String("class", c.className), attribute.String("model", item.Model)))
 	defer span.End()
 	var firstToken time.Duration
 	sink := func(f upstream.Frame) error {
 		if firstToken == 0 {
-			firstToken = time.Since(begin)
+			firstToken = time.Since(start)
 		}
-		return w.frame(f)
+		return w.writeFrame(f)
 	}
-	err := h.run(ctx, r.Header.Get(KeyHeader), c, item, body, sink)
+	err := h.execute(ctx, r.Header.Get(KeyHeader), c, item, body, sink)
 	if err == nil {
-		h.meter.Answered(c.class, time.Duration(c.target.FirstTokenWithin), firstToken, time.Since(begin))
+		h.meter.Answered(c.className, time.Duration(c.class.FirstTokenWithin), firstToken, time.Since(start))
 		return
 	}
 	var refusal *work.Refusal
@@ -167,12 +169,13 @@
 		refusal = work.Uncertain(work.UpstreamFailed, "the answer broke off")
 	}
 	span.SetAttributes(attribute.String("refusal", string(refusal.Code)))
-	h.meter.Refused(c.class, refusal)
-	w.refuse(refusal)
+	h.meter.Refused(c.className, refusal)
+	w.writeRefusal(refusal)
 }
 
-func (h *Handler) run(ctx context.Context, key string, c caller, item *work.Item, body []byte, sink delivery.Sink) error {
-	if c.target.Idempotent {
+// execute routes an item, through the ledger if its class is not idempotent.
+func (h *Handler) execute(ctx context.Context, key string, c caller, item *work.Item, body []byte, sink delivery.Sink) error {
+	if c.class.Idempotent {
 		return h.router.Route(ctx, item, sink)
 	}
 	request := ledger.Request{ID: item.ID, Workspace: c.workspace, Key: key, Body: body}
--- a/jackdawd/internal/intake/service.go
+++ b/jackdawd/internal/intake/service.go
@@ -11,16 +11,16 @@
 	"jackdawhinge/jackdawd/internal/work"
 )
 
-// ServeService passes a call through to a plain service.
+// ServeService forwards a call to a plain service and answers it.
 func (h *Handler) ServeService(w http.ResponseWriter, r *http.Request) {
-	if refusal := h.enter(); refusal != nil {
+	if refusal := h.acquireSlot(); refusal != nil {
 		refusal.Write(w)
 		return
 	}
-	defer h.leave()
-	item, c, body, refusal := h.serviceItem(w, r)
+	defer h.releaseSlot()
+	item, c, body, refusal := h.readServiceRequest(w, r)
 	if refusal != nil {
-		h.meter.Refused(c.class, refusal)
+		h.meter.Refused(c.className, refusal)
 		refusal.Write(w)
 		return
 	}
@@ -28,13 +28,15 @@
 	h.serve(r, c, item, body, &serviceWriter{w: w})
 }
 
-func (h *Handler) serviceItem(w http.ResponseWriter, r *http.Request) (item *work.Item, c caller, body []byte, refusal *work.Refusal) {
+// readServiceRequest returns the work item and caller of a service call, and the bytes that identify
+// it under an idempotency key.
+func (h *Handler) readServiceRequest(w http.ResponseWriter, r *http.Request) (item *work.Item, c caller, body []byte, refusal *work.Refusal) {
 	c, refusal = h.authenticate(r)
 	if refusal != nil {
 		return nil, c, nil, refusal
 	}
 	name, path, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, ServicePath), "/")
-	if pool, ok := h.views().Pool(name); !ok || pool.Kind() != targets.Service {
+	if pool, ok := h.view().Pool(name); !ok || pool.Kind() != targets.Service {
 		return nil, c, nil, work.Refuse(http.StatusNotFound, work.UnknownModel, "there is no service %q", name)
 	}
 	body, refusal = h.readBody(w, r)
@@ -44,19 +46,19 @@
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
 	}
-	item = c.item(name, uuid.NewString())
+	item = c.newItem(name, uuid.NewString())
 	item.Service = &work.ServiceCall{Method: r.Method, Path: path, ContentType: r.Header.Get("Content-Type"), Body: body}
-	// Two calls with one key must also agree on method and path.
+	// Calls that share an idempotency key must also have the same method and path.
 	identity := append([]byte(r.Method+" "+r.URL.RequestURI()+"\n"), body...)
 	return item, c, identity, nil
 }
 
-// serviceWriter writes the answer of a plain service.
+// serviceWriter writes the response of a plain service.
 type serviceWriter struct {
 	w http.ResponseWriter
 }
 
-func (s *serviceWriter) frame(f upstream.Frame) error {
+func (s *serviceWriter) writeFrame(f upstream.Frame) error {
 	if f.Answer == nil {
 		return work.Uncertain(work.UpstreamFailed, "the service's answer is empty")
 	}
@@ -66,6 +68,6 @@
 	return err
 }
 
-func (s *serviceWriter) refuse(r *work.Refusal) {
+func (s *serviceWriter) writeRefusal(r *work.Refusal) {
 	r.Write(s.w)
 }
