--- a/jackdawd/internal/settings/settings.go
+++ b/jackdawd/internal/settings/settings.go
@@ -14,7 +14,7 @@
 	"jackdawhinge/common/targets"
 )
 
-// A LogFormat is how log lines are written.
+// A LogFormat is the format of log lines.
 type LogFormat string
 
 // The log formats.
@@ -24,18 +24,19 @@
 )
 
 const (
-	defaultStopWithin   = 30 * time.Second
+	defaultStopTimeout  = 30 * time.Second
 	defaultMaxBodyBytes = 8 << 20
-	defaultUnreadyFor   = time.Second
+	defaultDrainDelay   = time.Second
 	minSecretBytes      = 16
-	maxBodyLimit        = 64 << 20
+	maxBodyBytesLimit   = 64 << 20
 )
 
-// Settings are what one entry host is told at its start; the rest comes from the platform.
+// Settings are what one entry host reads from its file at start. The configuration comes from the
+// platform.
 type Settings struct {
 	Name          string `json:"name"`
 	FailureDomain string `json:"failure-domain"`
-	// Listen names the addresses to listen on, each an IP number with a port.
+	// Listen holds the addresses to listen on, each an IP address with a port.
 	Listen struct {
 		Callers string `json:"callers"`
 		Peers   string `json:"peers"`
@@ -45,24 +46,28 @@
 	LogService  string `json:"log-service"`
 	HostList    string `json:"host-list"`
 	FleetSecret string `json:"fleet-secret"`
-	// AlsoAcceptSecret is a second secret that other processes may show, while one is being replaced.
-	AlsoAcceptSecret string           `json:"also-accept-secret"`
-	StopWithin       targets.Duration `json:"stop-within"`
-	// UnreadyFor is how long a stopping host still takes requests after readiness has gone false.
-	UnreadyFor   targets.Duration `json:"unready-for"`
-	MaxBodyBytes int64            `json:"max-body-bytes"`
+	// AlsoAcceptSecret is a second secret that is accepted from other processes while the fleet
+	// secret is replaced.
+	AlsoAcceptSecret string `json:"also-accept-secret"`
+	// StopWithin is the maximum duration of a stop.
+	StopWithin targets.Duration `json:"stop-within"`
+	// UnreadyFor is how long a stopping host accepts requests after it reports not ready.
+	UnreadyFor targets.Duration `json:"unready-for"`
+	// MaxBodyBytes is the size of the largest request body that is accepted.
+	MaxBodyBytes int64 `json:"max-body-bytes"`
 	Logs         struct {
 		Format LogFormat `json:"format"`
 		Level  string    `json:"level"`
 	} `json:"logs"`
 	Traces struct {
-		// Collector is the address of an OpenTelemetry collector; empty means no traces.
-		Collector string  `json:"collector"`
-		Share     float64 `json:"share"`
+		// Collector is the address of an OpenTelemetry collector. If empty, no traces are sent.
+		Collector string `json:"collector"`
+		// Share is the ratio of requests that are traced, from 0 to 1.
+		Share float64 `json:"share"`
 	} `json:"traces"`
 }
 
-// Read returns the settings in a file, checked.
+// Read returns the validated settings in a file. See Parse for its errors.
 func Read(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -75,25 +80,26 @@
 	return s, nil
 }
 
-// Parse returns the settings in JSON, with defaults filled in, checked.
+// Parse returns the validated settings in JSON data, with defaults for missing fields. The error is a
+// *targets.FieldError if a field's value is invalid.
 func Parse(data []byte) (Settings, error) {
-	s := Settings{StopWithin: targets.Duration(defaultStopWithin), UnreadyFor: targets.Duration(defaultUnreadyFor), MaxBodyBytes: defaultMaxBodyBytes}
+	s := Settings{StopWithin: targets.Duration(defaultStopTimeout), UnreadyFor: targets.Duration(defaultDrainDelay), MaxBodyBytes: defaultMaxBodyBytes}
 	s.Logs.Format = TextLogs
 	s.Logs.Level = logrus.InfoLevel.String()
 	if err := register.DecodeStrict(data, &s); err != nil {
 		return Settings{}, err
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
-func (s Settings) check() error {
+func (s Settings) validate() error {
 	if s.Name == "" {
 		return &targets.FieldError{Field: "name", Problem: "is missing"}
 	}
 	if s.FailureDomain == "" {
 		return &targets.FieldError{Field: "failure-domain", Problem: "is missing"}
 	}
-	if err := s.checkAddresses(); err != nil {
+	if err := s.validateAddresses(); err != nil {
 		return err
 	}
 	if len(s.FleetSecret) < minSecretBytes {
@@ -108,38 +114,38 @@
 	if s.UnreadyFor < 0 || s.UnreadyFor >= s.StopWithin {
 		return &targets.FieldError{Field: "unready-for", Problem: "must not be negative, and less than stop-within"}
 	}
-	if s.MaxBodyBytes <= 0 || s.MaxBodyBytes > maxBodyLimit {
+	if s.MaxBodyBytes <= 0 || s.MaxBodyBytes > maxBodyBytesLimit {
 		return &targets.FieldError{Field: "max-body-bytes", Problem: "must be from 1 to 67108864"}
 	}
-	return s.checkTelemetry()
+	return s.validateTelemetry()
 }
 
-func (s Settings) checkAddresses() error {
-	listen := []struct{ field, value string }{
+func (s Settings) validateAddresses() error {
+	addresses := []struct{ field, value string }{
 		{"listen.callers", s.Listen.Callers},
 		{"listen.peers", s.Listen.Peers},
 		{"listen.control", s.Listen.Control},
 		{"listen.admin", s.Listen.Admin},
 	}
-	for _, l := range listen {
-		if _, err := netip.ParseAddrPort(l.value); err != nil {
-			return &targets.FieldError{Field: l.field, Problem: "must be an IP number with a port"}
+	for _, address := range addresses {
+		if _, err := netip.ParseAddrPort(address.value); err != nil {
+			return &targets.FieldError{Field: address.field, Problem: "must be an IP number with a port"}
 		}
 	}
 	services := []struct{ field, value string }{
 		{"log-service", s.LogService},
 		{"host-list", s.HostList},
 	}
-	for _, v := range services {
-		u, err := url.Parse(v.value)
+	for _, service := range services {
+		u, err := url.Parse(service.value)
 		if err != nil || !strings.HasPrefix(u.Scheme, "http") || u.Host == "" {
-			return &targets.FieldError{Field: v.field, Problem: "must be an http URL"}
+			return &targets.FieldError{Field: service.field, Problem: "must be an http URL"}
 		}
 	}
 	return nil
 }
 
-func (s Settings) checkTelemetry() error {
+func (s Settings) validateTelemetry() error {
 	if s.Logs.Format != TextLogs && s.Logs.Format != JSONLogs {
 		return &targets.FieldError{Field: "logs.format", Problem: "must be text or json"}
 	}
@@ -157,7 +163,7 @@
 	return nil
 }
 
-// Secrets returns the secrets that other processes of the fleet may show.
+// Secrets returns the secrets that are accepted from other processes of the fleet.
 func (s Settings) Secrets() []string {
 	if s.AlsoAcceptSecret == "" {
 		return []string{s.FleetSecret}
