--- a/jackdawd/internal/admin/handler.go
+++ b/jackdawd/internal/admin/handler.go
@@ -15,12 +15,12 @@
 // A Host is what the interface shows.
 type Host interface {
 	View() *routing.View
-	Board() *routing.Board
-	Depth(u *routing.Upstream) (requests int, tokens, limit int64)
+	Balancer() *routing.Board
+	QueueDepth(u *routing.Upstream) (requests int, tokens, limit int64)
 	Ready() bool
 	ListAge() time.Duration
 	Ledger() report.Ledger
-	Tally(class string) telemetry.Tally
+	ClassStats(class string) telemetry.ClassStats
 	Claims(ctx context.Context, workspace, key string) report.Claims
 }
 
@@ -56,16 +56,16 @@
 		Ready:    host.Ready(),
 		Revision: view.Revision(),
 		ListAge:  targets.Duration(host.ListAge().Round(time.Millisecond)),
-		Moved:    host.Board().Moves(),
+		Moved:    host.Balancer().Moves(),
 		Ledger:   host.Ledger(),
 	}
 	for _, h := range view.Hosts() {
 		s.EntryHosts = append(s.EntryHosts, h.Name())
 	}
 	for name, class := range view.Document().Classes {
-		t := host.Tally(name)
+		t := host.ClassStats(name)
 		s.Classes = append(s.Classes, report.Class{
-			Name: name, Target: class.FirstTokenWithin, FirstToken: targets.Duration(t.FirstToken.Round(time.Millisecond)),
+			Name: name, Target: class.FirstTokenWithin, FirstToken: targets.Duration(t.FirstTokenP95.Round(time.Millisecond)),
 			Answered: t.Answered, Late: t.Late, Refused: t.Refused,
 		})
 	}
@@ -80,11 +80,11 @@
 
 func upstreamStatus(host Host, view *routing.View, pool *routing.Pool, u *routing.Upstream) report.Upstream {
 	owner, _ := view.Owner(u.Hash())
-	load, known := host.Board().Load(time.Now(), u)
-	requests, tokens, limit := host.Depth(u)
+	load, known := host.Balancer().Load(time.Now(), u)
+	requests, tokens, limit := host.QueueDepth(u)
 	return report.Upstream{
 		Name: u.Name(), Model: pool.Model(), FailureDomain: u.FailureDomain(), Owner: owner.Name(),
-		Load: load, Known: known, Mean: host.Board().Mean(time.Now(), pool),
+		Load: load, Known: known, Mean: host.Balancer().Mean(time.Now(), pool),
 		Waiting: requests, WaitingTokens: tokens, Limit: limit,
 	}
 }
--- a/jackdawd/internal/cmd/runplatformcmd.go
+++ b/jackdawd/internal/cmd/runplatformcmd.go
@@ -89,7 +89,7 @@
 	defer lines.Close(flushWithin)
 	setUpLogger(logrus.StandardLogger(), lines, s.Host, o.logFormat)
 	usual := logrus.New()
-	setUpLogger(usual, lines.Plentiful(), s.Host, o.logFormat)
+	setUpLogger(usual, lines.LowPriority(), s.Host, o.logFormat)
 	stopTraces, err := telemetry.StartTraces(s.Host, o.collector, o.share)
 	if err != nil {
 		return err
--- a/jackdawd/internal/node/node.go
+++ b/jackdawd/internal/node/node.go
@@ -110,19 +110,19 @@
 // View returns what the node knows.
 func (n *Node) View() *routing.View { return n.control.View() }
 
-// Board returns what the node knows of loads.
-func (n *Node) Board() *routing.Board { return n.board }
+// Balancer returns what the node knows of loads.
+func (n *Node) Balancer() *routing.Board { return n.board }
 
-// Depth returns the requests waiting before an upstream, their tokens and its limit.
-func (n *Node) Depth(u *routing.Upstream) (requests int, tokens, limit int64) {
+// QueueDepth returns the requests waiting before an upstream, their tokens and its limit.
+func (n *Node) QueueDepth(u *routing.Upstream) (requests int, tokens, limit int64) {
 	return n.owner.Depth(u)
 }
 
 // Ledger returns how the node follows the claim streams.
 func (n *Node) Ledger() report.Ledger { return n.keeper.Report() }
 
-// Tally returns what the callers of a class were given since the start.
-func (n *Node) Tally(class string) telemetry.Tally { return n.meter.Tally(class) }
+// ClassStats returns what the callers of a class were given since the start.
+func (n *Node) ClassStats(class string) telemetry.ClassStats { return n.meter.ClassStats(class) }
 
 // Claims returns what the log holds of a workspace's idempotency key.
 func (n *Node) Claims(ctx context.Context, workspace, key string) report.Claims {
--- a/jackdawd/internal/stories/doc.go
+++ b/jackdawd/internal/stories/doc.go
@@ -1,3 +1,5 @@
-// Package stories writes how requests ended to the log and the metrics, so that
-// a failure can be explained afterwards from a request's identifier.
+// Package stories logs each finished request with its placement, its attempts and its outcome, and
+// counts it in the metrics, so that operators can trace a failure by the request's identifier. It
+// decides which requests are logged: above a rate per second it logs only a sample. The relay calls
+// it once for each request.
 package stories
--- a/jackdawd/internal/telemetry/buckets.go
+++ b/jackdawd/internal/telemetry/buckets.go
@@ -8,11 +8,10 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// upperBounds are the bounds of the buckets that times are counted in, each about 1.6
-// times the one before: from what a placement takes to the longest time a caller waits.
-// Quantiles are read from buckets, whose counts add up over hosts, where quantiles of
-// each host's own do not.
-var upperBounds = []time.Duration{
+// bucketBounds are the upper bounds of the histogram buckets, each about 1.6 times the one before.
+// They span from the duration of a placement to the longest time that a caller waits. Bucket counts
+// can be summed over hosts to get fleet-wide quantiles; quantiles of single hosts can't.
+var bucketBounds = []time.Duration{
 	100 * time.Microsecond, 250 * time.Microsecond, 500 * time.Microsecond,
 	time.Millisecond, 2500 * time.Microsecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	35 * time.Millisecond, 50 * time.Millisecond, 75 * time.Millisecond, 100 * time.Millisecond, 150 * time.Millisecond,
@@ -20,28 +19,28 @@
 	1500 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second, 10 * time.Second, 20 * time.Second,
 }
 
-// A buckets is a histogram of fixed buckets. It takes 200 bytes and no lock, where the
+// A bucketHistogram is a histogram with fixed buckets. It takes 200 bytes and no lock, where the
 // library's samples take 16 KB and a lock for each value.
-type buckets struct {
+type bucketHistogram struct {
 	metrics.NilHistogram
-	// counts holds how many values were in each bucket, the last those above all bounds.
+	// counts holds the number of values per bucket; the last bucket is for values above all bounds.
 	counts []atomic.Int64
 	sum    atomic.Int64
 }
 
-func newBuckets() metrics.Histogram {
-	return &buckets{counts: make([]atomic.Int64, len(upperBounds)+1)}
+func newBucketHistogram() metrics.Histogram {
+	return &bucketHistogram{counts: make([]atomic.Int64, len(bucketBounds)+1)}
 }
 
-// Update counts a time in nanoseconds.
-func (b *buckets) Update(nanoseconds int64) {
-	i := sort.Search(len(upperBounds), func(i int) bool { return nanoseconds <= int64(upperBounds[i]) })
+// Update adds a duration in nanoseconds.
+func (b *bucketHistogram) Update(nanoseconds int64) {
+	i := sort.Search(len(bucketBounds), func(i int) bool { return nanoseconds <= int64(bucketBounds[i]) })
 	b.counts[i].Add(1)
 	b.sum.Add(nanoseconds)
 }
 
-// Count returns how many times were counted.
-func (b *buckets) Count() int64 {
+// Count returns the number of recorded durations.
+func (b *bucketHistogram) Count() int64 {
 	n := int64(0)
 	for i := range b.counts {
 		n += b.counts[i].Load()
@@ -49,14 +48,14 @@
 	return n
 }
 
-// Sum returns the nanoseconds of all times counted.
-func (b *buckets) Sum() int64 { return b.sum.Load() }
+// Sum returns the sum of all recorded durations in nanoseconds.
+func (b *bucketHistogram) Sum() int64 { return b.sum.Load() }
 
-// upTo returns, by bound in seconds, how many times were no longer than that.
-func (b *buckets) upTo() map[float64]uint64 {
-	out := make(map[float64]uint64, len(upperBounds))
+// cumulativeCounts returns, by bucket bound in seconds, the number of durations up to that bound.
+func (b *bucketHistogram) cumulativeCounts() map[float64]uint64 {
+	out := make(map[float64]uint64, len(bucketBounds))
 	n := int64(0)
-	for i, bound := range upperBounds {
+	for i, bound := range bucketBounds {
 		n += b.counts[i].Load()
 		out[bound.Seconds()] = uint64(n)
 	}
--- a/jackdawd/internal/telemetry/logwriter.go
+++ b/jackdawd/internal/telemetry/logwriter.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// bufferedLines bounds the lines that wait to be written, at about 400 bytes each.
-	bufferedLines = 2048
-	// reportEvery is how often the lines that were dropped are told of.
-	reportEvery = time.Second
+	// maxBufferedLines bounds the lines waiting to be written, at about 400 bytes each.
+	maxBufferedLines = 2048
+	// dropReportInterval is how often the number of newly dropped lines is logged.
+	dropReportInterval = time.Second
 )
 
-// A LogWriter writes lines in the background. A reader that stops reading would
-// else block every request that logs; lines that find no room are dropped and counted.
+// A LogWriter writes lines in the background, so that a stalled reader of the output doesn't block
+// every request that logs. Lines that don't fit into the buffer are dropped and counted.
 type LogWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -24,9 +24,9 @@
 	done    chan struct{}
 }
 
-// NewLogWriter returns a writer to out.
+// NewLogWriter returns a writer to out, which Close must stop.
 func NewLogWriter(out io.Writer) *LogWriter {
-	w := &LogWriter{out: out, lines: make(chan []byte, bufferedLines), stop: make(chan struct{}), done: make(chan struct{})}
+	w := &LogWriter{out: out, lines: make(chan []byte, maxBufferedLines), stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
 		w.run()
@@ -34,63 +34,63 @@
 	return w
 }
 
-// Write takes in one line; it never blocks.
+// Write queues one line or drops it; it never blocks or fails.
 func (w *LogWriter) Write(line []byte) (int, error) {
-	w.put(line)
+	w.enqueue(line)
 	return len(line), nil
 }
 
-// Plentiful returns a writer for lines of which there are many: they are dropped
-// first, while half of the room is left for those that tell of faults.
-func (w *LogWriter) Plentiful() io.Writer {
-	return plentiful{w}
+// LowPriority returns a writer for frequent routine lines. They are dropped once the buffer is half
+// full, which leaves the other half to lines about faults.
+func (w *LogWriter) LowPriority() io.Writer {
+	return lowPriorityWriter{w}
 }
 
-type plentiful struct{ w *LogWriter }
+type lowPriorityWriter struct{ w *LogWriter }
 
-// Write takes in one line unless half of the room is taken.
-func (p plentiful) Write(line []byte) (int, error) {
-	if len(p.w.lines) > bufferedLines/2 {
+// Write queues one line unless the buffer is half full.
+func (p lowPriorityWriter) Write(line []byte) (int, error) {
+	if len(p.w.lines) > maxBufferedLines/2 {
 		p.w.dropped.Add(1)
 		return len(line), nil
 	}
 	return p.w.Write(line)
 }
 
-// Dropped returns how many lines were dropped since the start.
+// Dropped returns how many lines were dropped since the writer was created.
 func (w *LogWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits and stops; a reader that does not read is not waited for beyond the time given.
-func (w *LogWriter) Close(within time.Duration) {
+// Close writes the queued lines and stops the writer. It gives up after timeout if the output blocks.
+func (w *LogWriter) Close(timeout time.Duration) {
 	close(w.stop)
 	select {
 	case <-w.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
 
-func (w *LogWriter) put(line []byte) {
-	// The caller uses its buffer again.
-	kept := append([]byte(nil), line...)
+func (w *LogWriter) enqueue(line []byte) {
+	// The caller reuses its buffer.
+	copied := append([]byte(nil), line...)
 	select {
-	case w.lines <- kept:
+	case w.lines <- copied:
 	default:
 		w.dropped.Add(1)
 	}
 }
 
 func (w *LogWriter) run() {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
-	told := int64(0)
+	reported := int64(0)
 	for {
 		select {
 		case line := <-w.lines:
-			w.emit(line)
+			w.writeLine(line)
 		case now := <-ticker.C:
-			if n := w.dropped.Load(); n > told {
-				w.emit(fmt.Appendf(nil, `{"level":"warning","msg":"logs: Lines were dropped.","dropped":%d,"time":%q}`+"\n", n-told, now.UTC().Format(time.RFC3339Nano)))
-				told = n
+			if n := w.dropped.Load(); n > reported {
+				w.writeLine(fmt.Appendf(nil, `{"level":"warning","msg":"logs: Lines were dropped.","dropped":%d,"time":%q}`+"\n", n-reported, now.UTC().Format(time.RFC3339Nano)))
+				reported = n
 			}
 		case <-w.stop:
 			w.drain()
@@ -103,14 +103,14 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.emit(line)
+			w.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-func (w *LogWriter) emit(line []byte) {
-	// There is nowhere to tell that the log cannot be written.
+func (w *LogWriter) writeLine(line []byte) {
+	// A failure to write the log can't be logged anywhere.
 	_, _ = w.out.Write(line)
 }
--- a/jackdawd/internal/telemetry/traces.go
+++ b/jackdawd/internal/telemetry/traces.go
@@ -15,17 +15,17 @@
 	"jackdawhinge/jackdawd/internal/settings"
 )
 
-// Start sets up logs and traces and returns a function that sends the last traces off.
+// Start sets up logs and traces. The function that it returns flushes the remaining traces.
 func Start(s settings.Settings) (stop func(context.Context) error, err error) {
-	if err := startLogs(s); err != nil {
+	if err := configureLogs(s); err != nil {
 		return nil, err
 	}
 	return StartTraces(s.Name, s.Traces.Collector, s.Traces.Share)
 }
 
-// StartTraces sends a share of the host's traces to a collector, none if its address is
-// empty, and returns a function that sends the last ones off.
-func StartTraces(host, collector string, share float64) (stop func(context.Context) error, err error) {
+// StartTraces exports a sample of the host's traces to an OTLP collector; it exports none if the
+// collector's address is empty. The function that it returns flushes the remaining traces.
+func StartTraces(host, collector string, sampleRatio float64) (stop func(context.Context) error, err error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if collector == "" {
 		return func(context.Context) error { return nil }, nil
@@ -36,14 +36,14 @@
 	}
 	provider := trace.NewTracerProvider(
 		trace.WithBatcher(exporter),
-		trace.WithSampler(trace.ParentBased(trace.TraceIDRatioBased(share))),
+		trace.WithSampler(trace.ParentBased(trace.TraceIDRatioBased(sampleRatio))),
 		trace.WithResource(resource.NewSchemaless(attribute.String("service.name", "jackdawd"), attribute.String("host.name", host))),
 	)
 	otel.SetTracerProvider(provider)
 	return provider.Shutdown, nil
 }
 
-func startLogs(s settings.Settings) error {
+func configureLogs(s settings.Settings) error {
 	level, err := logrus.ParseLevel(s.Logs.Level)
 	if err != nil {
 		return fmt.Errorf("set up logs: %w", err)
