--- a/jackdawd/internal/events/splitter.go
+++ b/jackdawd/internal/events/splitter.go
@@ -4,47 +4,48 @@
 	"bytes"
 )
 
-// maxPending bounds the bytes of an event that has not ended.
-const maxPending = 1 << 20
+// maxPendingBytes bounds the size of an incomplete event.
+const maxPendingBytes = 1 << 20
 
-// A Splitter gathers bytes until events are whole.
+// A Splitter buffers the bytes of an event until the event is complete.
 type Splitter struct {
 	pending []byte
 	lastID  string
 	events  int
 }
 
-// Add takes in bytes and returns those that complete events, which are valid until the next call.
+// Add appends p to the buffer and returns all complete events in it, nil if there is none. The result
+// is valid until the next call.
 func (s *Splitter) Add(p []byte) []byte {
 	s.pending = append(s.pending, p...)
 	end := lastEventEnd(s.pending)
 	if end == 0 {
 		return nil
 	}
-	whole := bytes.Clone(s.pending[:end])
+	complete := bytes.Clone(s.pending[:end])
 	s.pending = append(s.pending[:0], s.pending[end:]...)
-	s.note(whole)
-	return whole
+	s.trackEvents(complete)
+	return complete
 }
 
-// Pending returns how many bytes of an unfinished event have come.
+// Pending returns the number of buffered bytes of an incomplete event.
 func (s *Splitter) Pending() int { return len(s.pending) }
 
-// Overlong reports whether an event has grown beyond any that is expected.
-func (s *Splitter) Overlong() bool { return len(s.pending) > maxPending }
+// Overlong reports whether the incomplete event exceeds the maximum size of an event.
+func (s *Splitter) Overlong() bool { return len(s.pending) > maxPendingBytes }
 
-// Drop forgets the unfinished event, after its stream broke off.
+// Drop discards the incomplete event, whose stream broke off.
 func (s *Splitter) Drop() { s.pending = s.pending[:0] }
 
-// LastID returns the identifier of the last whole event; empty if none had one.
+// LastID returns the identifier of the last complete event that had one, empty if none had.
 func (s *Splitter) LastID() string { return s.lastID }
 
-// Events returns how many whole events there were.
+// Events returns the number of complete events.
 func (s *Splitter) Events() int { return s.events }
 
-// note takes in the identifiers of whole events.
-func (s *Splitter) note(whole []byte) {
-	for line := range bytes.Lines(whole) {
+// trackEvents counts complete events and remembers the identifier of the last one that has any.
+func (s *Splitter) trackEvents(complete []byte) {
+	for line := range bytes.Lines(complete) {
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
 			s.events++
@@ -56,7 +57,7 @@
 	}
 }
 
-// lastEventEnd returns the length up to the last blank line, or 0.
+// lastEventEnd returns the length of p up to the end of its last blank line, 0 without a blank line.
 func lastEventEnd(p []byte) int {
 	lf := bytes.LastIndex(p, []byte("\n\n"))
 	crlf := bytes.LastIndex(p, []byte("\n\r\n"))
