--- a/jackdawd/internal/node/loads.go
+++ b/jackdawd/internal/node/loads.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// exchangeEvery is how often this host exchanges rows with one other owner.
-	exchangeEvery = 500 * time.Millisecond
-	// pollEvery is how often this host reads the load that its upstreams report.
-	pollEvery    = 2 * time.Second
-	maxLoadBytes = 4 << 10
+	// exchangeInterval is how often this host exchanges load rows with another owner.
+	exchangeInterval = 500 * time.Millisecond
+	// loadPollInterval is how often this host polls the load of the upstreams that it owns.
+	loadPollInterval     = 2 * time.Second
+	maxLoadResponseBytes = 4 << 10
 )
 
-// exchangeLoads exchanges rows with one random owner of one pool at a time, in
-// turn of the pools in which this host owns an upstream. The bytes a host spends
-// so do not depend on how many hosts there are.
+// exchangeLoads exchanges the load rows of one pool with one random other owner per interval. It takes
+// the pools in which this host owns an upstream in turn, so the bytes that a host sends don't depend
+// on the number of hosts.
 func (n *Node) exchangeLoads(ctx context.Context) {
-	ticker := time.NewTicker(exchangeEvery)
+	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
 	for turn := 0; ; turn++ {
 		select {
@@ -44,44 +44,45 @@
 			continue
 		}
 		pool := pools[turn%len(pools)]
-		host, ok := otherOwner(view, pool)
+		host, ok := randomOtherOwner(view, pool)
 		if ok {
 			n.exchange(ctx, pool, host)
 		}
 	}
 }
 
-func (n *Node) exchange(ctx context.Context, pool *routing.Pool, with routing.EntryHost) {
+func (n *Node) exchange(ctx context.Context, pool *routing.Pool, host routing.EntryHost) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	args := peers.ExchangeArgs{Pool: pool.Model(), Rows: toWire(n.board.Rows(time.Now(), pool, maxRows))}
+	args := peers.ExchangeArgs{Pool: pool.Model(), Rows: packRows(n.balancer.Rows(time.Now(), pool, maxExchangeRows))}
 	var reply peers.ExchangeReply
-	err := n.peers.Call(ctx, with.Control(), peers.ExchangeCall, &args, &reply)
-	n.control.Observe(with.Name(), err == nil)
+	err := n.peerClient.Call(ctx, host.Control(), peers.ExchangeCall, &args, &reply)
+	n.control.Observe(host.Name(), err == nil)
 	if err == nil {
-		n.board.Merge(time.Now(), fromWire(reply.Rows))
+		n.balancer.Merge(time.Now(), unpackRows(reply.Rows))
 	}
 }
 
-// ownedPools returns the pools in which this host owns an upstream, in order of name.
+// ownedPools returns the pools in which this host owns an upstream, sorted by name.
 func ownedPools(view *routing.View) []*routing.Pool {
 	var pools []*routing.Pool
 	for _, name := range slices.Sorted(maps.Keys(view.Pools())) {
 		pool, ok := view.Pool(name)
-		if ok && slices.ContainsFunc(pool.Upstreams(), func(u *routing.Upstream) bool { return owns(view, u) }) {
+		if ok && slices.ContainsFunc(pool.Upstreams(), func(u *routing.Upstream) bool { return ownsUpstream(view, u) }) {
 			pools = append(pools, pool)
 		}
 	}
 	return pools
 }
 
-func owns(view *routing.View, u *routing.Upstream) bool {
+func ownsUpstream(view *routing.View, u *routing.Upstream) bool {
 	owner, ok := view.Owner(u.Hash())
 	return ok && owner.Name() == view.Self()
 }
 
-// otherOwner returns the owner of a random upstream of the pool that another host owns.
-func otherOwner(view *routing.View, pool *routing.Pool) (routing.EntryHost, bool) {
+// randomOtherOwner returns the owner of a random upstream of the pool. It skips upstreams that this
+// host owns and returns false if there is no other owner.
+func randomOtherOwner(view *routing.View, pool *routing.Pool) (routing.EntryHost, bool) {
 	upstreams := pool.Upstreams()
 	start := rand.IntN(len(upstreams))
 	for i := range upstreams {
@@ -93,9 +94,9 @@
 	return routing.EntryHost{}, false
 }
 
-// pollLoads reads what the upstreams that this host owns report of themselves.
+// pollLoads polls the load that engines owned by this host report.
 func (n *Node) pollLoads(ctx context.Context, client *delivery.Client) {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(loadPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -106,7 +107,7 @@
 		view := n.View()
 		for _, pool := range view.Pools() {
 			for _, u := range pool.Upstreams() {
-				if pool.Kind() == targets.Engine && owns(view, u) {
+				if pool.Kind() == targets.Engine && ownsUpstream(view, u) {
 					n.pollLoad(ctx, client, u)
 				}
 			}
@@ -128,7 +129,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var load upstream.Load
-	if json.NewDecoder(io.LimitReader(resp.Body, maxLoadBytes)).Decode(&load) == nil {
-		n.board.Report(u, load.ResidentTokens)
+	if json.NewDecoder(io.LimitReader(resp.Body, maxLoadResponseBytes)).Decode(&load) == nil {
+		n.balancer.Report(u, load.ResidentTokens)
 	}
 }
--- a/jackdawd/internal/node/services.go
+++ b/jackdawd/internal/node/services.go
@@ -15,136 +15,138 @@
 )
 
 const (
-	// maxRows bounds the rows of one exchange.
-	maxRows      = 12
-	claimTimeout = 3 * time.Second
-	callTimeout  = time.Second
+	// maxExchangeRows bounds the load rows that each side sends in an exchange.
+	maxExchangeRows = 12
+	claimTimeout    = 3 * time.Second
+	callTimeout     = time.Second
 )
 
-// controlService answers control messages of other entry hosts and operators.
+// controlService serves the control RPCs of other entry hosts and of operators.
 type controlService struct {
 	node *Node
 }
 
-// Exchange takes in another owner's rows on a pool and returns this host's.
+// Exchange merges another owner's load rows of a pool and returns this host's rows. An unknown pool is
+// ignored.
 func (c *controlService) Exchange(args *peers.ExchangeArgs, reply *peers.ExchangeReply) error {
 	pool, ok := c.node.View().Pool(args.Pool)
 	if !ok {
 		return nil
 	}
 	now := time.Now()
-	reply.Rows = toWire(c.node.board.Rows(now, pool, maxRows))
-	c.node.board.Merge(now, fromWire(args.Rows))
+	reply.Rows = packRows(c.node.balancer.Rows(now, pool, maxExchangeRows))
+	c.node.balancer.Merge(now, unpackRows(args.Rows))
 	return nil
 }
 
-// Checkpoint returns the configuration that this host has folded.
+// Checkpoint returns this host's checkpoint of the configuration; the reply is empty while the
+// checkpoint is incomplete.
 func (c *controlService) Checkpoint(_ *peers.Nothing, reply *peers.CheckpointReply) error {
-	cp, whole := c.node.control.Folded()
-	if !whole {
+	checkpoint, complete := c.node.control.Folded()
+	if !complete {
 		return nil
 	}
-	data, err := json.Marshal(cp)
+	data, err := json.Marshal(checkpoint)
 	reply.Whole, reply.Checkpoint = true, data
 	return err
 }
 
-// Revision returns the revision in force on this host.
+// Revision returns the configuration revision in force on this host.
 func (c *controlService) Revision(_ *peers.Nothing, reply *peers.RevisionReply) error {
 	reply.Host, reply.Revision = c.node.settings.Name, c.node.View().Revision()
 	return nil
 }
 
-// ledgerService answers claims of other entry hosts.
+// ledgerService serves the claims of other entry hosts.
 type ledgerService struct {
-	keeper *ledger.Keeper
+	partitions *ledger.Keeper
 }
 
-// Claim claims a key for another host.
+// Claim claims an idempotency key for another host.
 func (l *ledgerService) Claim(args *peers.ClaimArgs, reply *peers.ClaimReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	r, err := l.keeper.Claim(ctx, *args)
-	*reply = r
+	claimed, err := l.partitions.Claim(ctx, *args)
+	*reply = claimed
 	return err
 }
 
-// Close ends a claim of another host.
+// Close records the end of another host's claim.
 func (l *ledgerService) Close(args *peers.CloseArgs, _ *peers.Nothing) error {
-	return l.keeper.End(*args)
+	return l.partitions.End(*args)
 }
 
-// checkpoints asks other entry hosts for their configuration.
-type checkpoints struct {
-	peers *peers.Client
+// checkpointClient fetches configuration checkpoints from other entry hosts.
+type checkpointClient struct {
+	peerClient *peers.Client
 }
 
-// Checkpoint returns a host's folded configuration, or false if it has none.
-func (c checkpoints) Checkpoint(ctx context.Context, from routing.EntryHost) (register.Checkpoint, bool, error) {
+// Checkpoint returns a host's configuration checkpoint, or false if it has none.
+func (c checkpointClient) Checkpoint(ctx context.Context, host routing.EntryHost) (register.Checkpoint, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply peers.CheckpointReply
-	if err := c.peers.Call(ctx, from.Control(), peers.CheckpointCall, &peers.Nothing{}, &reply); err != nil {
+	if err := c.peerClient.Call(ctx, host.Control(), peers.CheckpointCall, &peers.Nothing{}, &reply); err != nil {
 		return register.Checkpoint{}, false, err
 	}
 	if !reply.Whole {
 		return register.Checkpoint{}, false, nil
 	}
-	var cp register.Checkpoint
-	err := json.Unmarshal(reply.Checkpoint, &cp)
-	return cp, err == nil, err
+	var checkpoint register.Checkpoint
+	err := json.Unmarshal(reply.Checkpoint, &checkpoint)
+	return checkpoint, err == nil, err
 }
 
-// fleetClaims takes claims to the host that owns their partition, so that few
-// hosts read each partition and claims of one moment share an append.
-type fleetClaims struct {
-	views  func() *routing.View
-	keeper *ledger.Keeper
-	peers  *peers.Client
+// claimRouter sends claims to the host that owns their partition, so that few hosts read each
+// partition and concurrent claims share an append.
+type claimRouter struct {
+	view       func() *routing.View
+	partitions *ledger.Keeper
+	peerClient *peers.Client
 }
 
-func partitionKey(partition uint64) uint64 {
+func partitionHash(partition uint64) uint64 {
 	return xxhash.Sum64String("partition") + partition
 }
 
-// Claim claims a key with the partition's owner, or here if it cannot be reached.
-func (f *fleetClaims) Claim(ctx context.Context, args peers.ClaimArgs) (peers.ClaimReply, error) {
+// Claim claims a key through the owner of its partition, or locally if the owner can't be reached.
+func (r *claimRouter) Claim(ctx context.Context, args peers.ClaimArgs) (peers.ClaimReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	host, local := f.owner(args.Key)
+	host, local := r.owner(args.Key)
 	if local {
-		return f.keeper.Claim(ctx, args)
+		return r.partitions.Claim(ctx, args)
 	}
 	var reply peers.ClaimReply
-	err := f.peers.Call(ctx, host.Control(), peers.ClaimCall, &args, &reply)
+	err := r.peerClient.Call(ctx, host.Control(), peers.ClaimCall, &args, &reply)
 	if err == nil || ctx.Err() != nil {
 		return reply, err
 	}
-	// The claim has one identity wherever it is appended, so that asking twice
-	// makes no second one.
-	return f.keeper.Claim(ctx, args)
+	// A claim keeps its identifier wherever it is appended, so asking twice makes no second claim.
+	return r.partitions.Claim(ctx, args)
 }
 
-// End ends a claim with the partition's owner, or here if it cannot be reached.
-func (f *fleetClaims) End(ctx context.Context, args peers.CloseArgs) error {
-	host, local := f.owner(args.Key)
+// End records the end of a claim through the owner of its partition, or locally if the owner can't be
+// reached.
+func (r *claimRouter) End(ctx context.Context, args peers.CloseArgs) error {
+	host, local := r.owner(args.Key)
 	if local {
-		return f.keeper.End(args)
+		return r.partitions.End(args)
 	}
-	err := f.peers.Call(ctx, host.Control(), peers.CloseCall, &args, &peers.Nothing{})
+	err := r.peerClient.Call(ctx, host.Control(), peers.CloseCall, &args, &peers.Nothing{})
 	if err == nil {
 		return nil
 	}
-	return errors.Join(err, f.keeper.End(args))
+	return errors.Join(err, r.partitions.End(args))
 }
 
-func (f *fleetClaims) owner(key string) (host routing.EntryHost, local bool) {
-	view := f.views()
-	host, ok := view.Owner(partitionKey(ledger.PartitionOf(key)))
+func (r *claimRouter) owner(key string) (host routing.EntryHost, local bool) {
+	view := r.view()
+	host, ok := view.Owner(partitionHash(ledger.PartitionOf(key)))
 	return host, !ok || host.Name() == view.Self()
 }
 
-func toWire(rows []routing.Row) peers.Rows {
+func packRows(rows []routing.Row) peers.Rows {
 	out := make([]peers.Row, len(rows))
 	for i, r := range rows {
 		out[i] = peers.Row(r)
@@ -152,7 +154,7 @@
 	return peers.Pack(out)
 }
 
-func fromWire(packed peers.Rows) []routing.Row {
+func unpackRows(packed peers.Rows) []routing.Row {
 	rows := packed.Unpack()
 	out := make([]routing.Row, len(rows))
 	for i, r := range rows {
