--- a/jackdawd/internal/admin/handler.go
+++ b/jackdawd/internal/admin/handler.go
@@ -12,7 +12,7 @@
 	"jackdawhinge/jackdawd/internal/telemetry"
 )
 
-// A Host is what the interface shows.
+// A Host provides the state that the handler reports.
 type Host interface {
 	View() *routing.View
 	Balancer() *routing.Board
@@ -24,7 +24,8 @@
 	Claims(ctx context.Context, workspace, key string) report.Claims
 }
 
-// Handler returns the handler of liveness, readiness, metrics, status and explanations.
+// Handler returns the HTTP handler for liveness, readiness, metrics, status, placement explanations and
+// claims.
 func Handler(host Host, metrics http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -34,24 +35,24 @@
 		}
 	})
 	mux.Handle("GET /metrics", metrics)
-	mux.HandleFunc("GET "+report.StatusPath, func(w http.ResponseWriter, _ *http.Request) { write(w, status(host)) })
-	mux.HandleFunc("GET "+report.ExplainPath, func(w http.ResponseWriter, r *http.Request) { serveExplain(host, w, r) })
+	mux.HandleFunc("GET "+report.StatusPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, newStatus(host)) })
+	mux.HandleFunc("GET "+report.ExplainPath, func(w http.ResponseWriter, r *http.Request) { serveExplanation(host, w, r) })
 	mux.HandleFunc("GET "+report.ClaimsPath, func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
-		write(w, host.Claims(r.Context(), q.Get("workspace"), q.Get("key")))
+		writeJSON(w, host.Claims(r.Context(), q.Get("workspace"), q.Get("key")))
 	})
 	return mux
 }
 
-func write(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A reader that has gone away needs no answer.
+	// Ignore a write error: the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func status(host Host) report.Status {
+func newStatus(host Host) report.Status {
 	view := host.View()
-	s := report.Status{
+	status := report.Status{
 		Host:     view.Self(),
 		Ready:    host.Ready(),
 		Revision: view.Revision(),
@@ -60,25 +61,25 @@
 		Ledger:   host.Ledger(),
 	}
 	for _, h := range view.Hosts() {
-		s.EntryHosts = append(s.EntryHosts, h.Name())
+		status.EntryHosts = append(status.EntryHosts, h.Name())
 	}
 	for name, class := range view.Document().Classes {
-		t := host.ClassStats(name)
-		s.Classes = append(s.Classes, report.Class{
-			Name: name, Target: class.FirstTokenWithin, FirstToken: targets.Duration(t.FirstTokenP95.Round(time.Millisecond)),
-			Answered: t.Answered, Late: t.Late, Refused: t.Refused,
+		stats := host.ClassStats(name)
+		status.Classes = append(status.Classes, report.Class{
+			Name: name, Target: class.FirstTokenWithin, FirstToken: targets.Duration(stats.FirstTokenP95.Round(time.Millisecond)),
+			Answered: stats.Answered, Late: stats.Late, Refused: stats.Refused,
 		})
 	}
 	for _, pool := range view.Pools() {
 		for _, u := range pool.Upstreams() {
-			s.Upstreams = append(s.Upstreams, upstreamStatus(host, view, pool, u))
+			status.Upstreams = append(status.Upstreams, newUpstreamStatus(host, view, pool, u))
 		}
 	}
-	s.Sort()
-	return s
+	status.Sort()
+	return status
 }
 
-func upstreamStatus(host Host, view *routing.View, pool *routing.Pool, u *routing.Upstream) report.Upstream {
+func newUpstreamStatus(host Host, view *routing.View, pool *routing.Pool, u *routing.Upstream) report.Upstream {
 	owner, _ := view.Owner(u.Hash())
 	load, known := host.Balancer().Load(time.Now(), u)
 	requests, tokens, limit := host.QueueDepth(u)
@@ -89,7 +90,7 @@
 	}
 }
 
-func serveExplain(host Host, w http.ResponseWriter, r *http.Request) {
+func serveExplanation(host Host, w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	view := host.View()
 	pool, ok := view.Pool(q.Get("model"))
@@ -97,9 +98,9 @@
 		http.Error(w, "model: there is no such model", http.StatusNotFound)
 		return
 	}
-	e := report.Explanation{Host: view.Self(), Model: pool.Model(), Multiple: pool.Multiple()}
+	explanation := report.Explanation{Host: view.Self(), Model: pool.Model(), Multiple: pool.Multiple()}
 	for _, u := range pool.Rank(routing.ChatHash(q.Get("workspace"), q.Get("chat"))) {
-		e.Candidates = append(e.Candidates, upstreamStatus(host, view, pool, u))
+		explanation.Candidates = append(explanation.Candidates, newUpstreamStatus(host, view, pool, u))
 	}
-	write(w, e)
+	writeJSON(w, explanation)
 }
