--- a/jackdawd/internal/work/item.go
+++ b/jackdawd/internal/work/item.go
@@ -9,10 +9,10 @@
 	"jackdawhinge/common/upstream"
 )
 
-// bytesPerToken is how many bytes of text are counted as one token.
+// bytesPerToken is the number of bytes of text that are estimated as one token.
 const bytesPerToken = 4
 
-// A ServiceCall is a call of a plain service.
+// A ServiceCall is the HTTP request to a plain service.
 type ServiceCall struct {
 	Method      string `json:"method"`
 	Path        string `json:"path"`
@@ -20,7 +20,7 @@
 	Body        []byte `json:"body,omitempty"`
 }
 
-// An Item is one request of a caller, as entry hosts pass it on.
+// An Item is one request of a caller in the form that entry hosts pass on.
 type Item struct {
 	ID        string             `json:"id"`
 	Workspace string             `json:"workspace"`
@@ -29,32 +29,32 @@
 	Model     string             `json:"model"`
 	Messages  []upstream.Message `json:"messages,omitempty"`
 	MaxTokens int                `json:"max-tokens,omitempty"`
-	// Options are the caller's fields that only the engine understands.
+	// Options holds the fields of the caller's request that only the engine interprets.
 	Options    map[string]json.RawMessage `json:"options,omitempty"`
 	Service    *ServiceCall               `json:"service,omitempty"`
 	Idempotent bool                       `json:"idempotent"`
 	Urgency    targets.Urgency            `json:"urgency"`
-	// Target is how soon the class's answers begin.
+	// Target is the class's target for the time to the first token.
 	Target time.Duration `json:"target"`
-	// BeginWithin is what is left of the class's target when the item is passed on.
+	// BeginWithin is the part of the target that remains when the item is passed on.
 	BeginWithin time.Duration `json:"begin-within"`
-	// Seen holds the loads of the upstreams that the item was moved away from.
+	// Seen holds the load rows of the upstreams that the item was moved away from.
 	Seen []peers.Row `json:"seen,omitempty"`
 }
 
-// Returning reports whether the chat has had an answer before.
+// Returning reports whether the chat has had a response before, that is, has more than one message.
 func (i *Item) Returning() bool {
 	return len(i.Messages) > 1
 }
 
-// PromptTokens returns an estimate of the prompt's tokens.
+// PromptTokens estimates the number of tokens of the prompt or the service call's body.
 func (i *Item) PromptTokens() int64 {
-	bytes := 0
+	size := 0
 	for _, m := range i.Messages {
-		bytes += len(m.Content)
+		size += len(m.Content)
 	}
 	if i.Service != nil {
-		bytes += len(i.Service.Body)
+		size += len(i.Service.Body)
 	}
-	return int64(bytes/bytesPerToken) + 1
+	return int64(size/bytesPerToken) + 1
 }
--- a/jackdawd/internal/work/refusal.go
+++ b/jackdawd/internal/work/refusal.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// An Outcome says what is known of a request that has no answer.
+// An Outcome states whether a request without a response may have run.
 type Outcome string
 
-// The outcomes.
+// The outcomes of a request without a response.
 const (
-	// NotRun is proved: no upstream's execution has begun or will begin.
+	// NotRun means that it is certain that no upstream has begun or will begin to run the request.
 	NotRun Outcome = "not-run"
-	// Unknown means that an upstream may have executed the request.
+	// Unknown means that an upstream may have run the request.
 	Unknown Outcome = "unknown"
-	// InProgress means that the first request with this key has not ended.
+	// InProgress means that the first request with the same idempotency key is still in progress.
 	InProgress Outcome = "in-progress"
-	// Done means that the request was executed, but its answer is no longer to be had.
+	// Done means that the request has run but its response is not available.
 	Done Outcome = "done"
 )
 
-// A Code names the reason for a refusal.
+// A Code is the reason for a refusal.
 type Code string
 
 // The codes of refusals.
@@ -48,11 +48,11 @@
 	Stopping          Code = "stopping"
 	NotReady          Code = "not-ready"
 	Cancelled         Code = "cancelled"
-	// Quarantined requests are those under which upstreams have crashed.
+	// Quarantined refuses a request because upstreams crashed while they ran it.
 	Quarantined Code = "quarantined"
 )
 
-// A Refusal is the typed error that a caller gets in place of an answer.
+// A Refusal is the error that a caller gets instead of a response.
 type Refusal struct {
 	Status     int           `json:"status"`
 	Code       Code          `json:"code"`
@@ -61,20 +61,20 @@
 	RetryAfter time.Duration `json:"-"`
 }
 
-// Refuse returns a refusal of a request that was not run.
+// Refuse returns a refusal of a request that has not run.
 func Refuse(status int, code Code, format string, args ...any) *Refusal {
 	return &Refusal{Status: status, Code: code, Outcome: NotRun, Message: fmt.Sprintf(format, args...)}
 }
 
-// Uncertain returns a refusal of a request that may have run.
+// Uncertain returns a refusal, with status 502, of a request that may have run.
 func Uncertain(code Code, format string, args ...any) *Refusal {
 	return &Refusal{Status: http.StatusBadGateway, Code: code, Outcome: Unknown, Message: fmt.Sprintf(format, args...)}
 }
 
-// Retry returns the refusal with a time after which to retry, with jitter of half of it,
-// so that a refused crowd does not come back as one.
-func (r *Refusal) Retry(after time.Duration) *Refusal {
-	r.RetryAfter = after + rand.N(after/2+1)
+// Retry sets the time after which the caller may retry and returns the refusal. It adds jitter of up to
+// half of the delay, so that callers refused together don't retry at the same time.
+func (r *Refusal) Retry(delay time.Duration) *Refusal {
+	r.RetryAfter = delay + rand.N(delay/2+1)
 	return r
 }
 
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("%s (%s): %s", r.Code, r.Outcome, r.Message)
 }
 
-// refusalBody is the JSON form of a refusal.
+// refusalBody is the JSON body of a refusal.
 type refusalBody struct {
 	Error *Refusal `json:"error"`
 }
@@ -92,7 +92,7 @@
 func (r *Refusal) Body() []byte {
 	data, err := json.Marshal(refusalBody{Error: r})
 	if err != nil {
-		// A refusal holds only numbers and text, which always encode.
+		// Encoding can't fail, because a refusal holds only numbers and text.
 		panic(err)
 	}
 	return data
@@ -106,18 +106,19 @@
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	w.WriteHeader(r.Status)
-	// A caller that has gone away needs no refusal.
+	// Ignore a write error: the caller has disconnected.
 	_, _ = w.Write(r.Body())
 }
 
-// ReadRefusal returns the refusal in an HTTP response's body, or one of unknown outcome if it holds none.
+// ReadRefusal decodes the refusal in the body of an HTTP response. It returns a refusal with outcome
+// unknown if the body holds none.
 func ReadRefusal(resp *http.Response, body []byte) *Refusal {
-	var b refusalBody
-	if err := json.Unmarshal(body, &b); err != nil || b.Error == nil || b.Error.Code == "" {
+	var decoded refusalBody
+	if err := json.Unmarshal(body, &decoded); err != nil || decoded.Error == nil || decoded.Error.Code == "" {
 		return Uncertain(UpstreamFailed, "the host answered with status %d", resp.StatusCode)
 	}
-	if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
-		b.Error.RetryAfter = time.Duration(s) * time.Second
+	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
+		decoded.Error.RetryAfter = time.Duration(seconds) * time.Second
 	}
-	return b.Error
+	return decoded.Error
 }
