--- a/jackdawd/internal/cmd/cmd.go
+++ b/jackdawd/internal/cmd/cmd.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit codes of the daemon.
+// Exit codes of the daemon.
 const (
 	exitOK     = 0
 	exitFailed = 1
--- a/jackdawd/internal/cmd/runcmd.go
+++ b/jackdawd/internal/cmd/runcmd.go
@@ -26,16 +26,16 @@
 	if err != nil {
 		return err
 	}
-	flush, err := telemetry.Start(s)
+	stopTelemetry, err := telemetry.Start(s)
 	if err != nil {
 		return err
 	}
-	// The library's own lines say nothing that the node's do not.
+	// The library logs nothing below errors that the node doesn't log itself.
 	klog.SetLogger(klog.NewFilter(klog.DefaultLogger, klog.FilterLevel(klog.LevelError)))
 	n, err := node.New(s)
 	if err != nil {
 		return err
 	}
-	served := n.Start(ctx)
-	return errors.Join(served, n.Stop(), flush(context.WithoutCancel(ctx)))
+	serveErr := n.Start(ctx)
+	return errors.Join(serveErr, n.Stop(), stopTelemetry(context.WithoutCancel(ctx)))
 }
--- a/jackdawd/internal/cmd/runplatformcmd.go
+++ b/jackdawd/internal/cmd/runplatformcmd.go
@@ -23,48 +23,50 @@
 )
 
 const (
-	// reloadEvery is how often the settings file is read again, which may change without a signal.
-	reloadEvery = 2 * time.Second
-	// flushWithin is how long the last log lines may take at a stop.
-	flushWithin = 100 * time.Millisecond
-	// memoryShare is the part of the host's memory that the garbage collector keeps
-	// the heap below; the rest is for buffers of the kernel and the program's text.
-	memoryShare = 0.6
-	// bodiesShare is the part of the host's memory that requests' bodies may take.
-	bodiesShare = 0.2
-	// collectAt is how much the heap may grow between collections, in percent.
-	collectAt = 50
+	// settingsReloadInterval is how often the settings file is read again. The platform may change the
+	// file without sending a signal.
+	settingsReloadInterval = 2 * time.Second
+	// flushTimeout bounds the time to write the remaining log lines, and to send the remaining traces,
+	// on shutdown.
+	flushTimeout = 100 * time.Millisecond
+	// memoryLimitRatio is the garbage collector's memory limit relative to the host's memory. The rest
+	// is for kernel buffers and the program's text.
+	memoryLimitRatio = 0.6
+	// bodyMemoryRatio bounds the memory for request bodies relative to the host's memory.
+	bodyMemoryRatio = 0.2
+	// gcPercent is how much the heap may grow between collections, in percent.
+	gcPercent = 50
 )
 
-// observation is what the platform's settings do not say of logs and traces.
-type observation struct {
-	logFormat string
-	collector string
-	share     float64
+// telemetryOptions are the options for logs and traces, which the platform's settings don't contain.
+type telemetryOptions struct {
+	logFormat   string
+	collector   string
+	sampleRatio float64
 }
 
-func (o observation) check() error {
+func (o telemetryOptions) validate() error {
 	if o.logFormat != string(settings.JSONLogs) && o.logFormat != string(settings.TextLogs) {
 		return fmt.Errorf("--log-format must be %s or %s", settings.JSONLogs, settings.TextLogs)
 	}
-	if o.share < 0 || o.share > 1 {
+	if o.sampleRatio < 0 || o.sampleRatio > 1 {
 		return errors.New("--trace-share must be from 0 to 1")
 	}
 	return nil
 }
 
-// defaultTraceShare is the share of requests that are traced where there is a
-// collector: at 40 requests a second a host sends a few spans a second.
-const defaultTraceShare = 0.01
+// defaultTraceRatio is the ratio of requests to trace if there is a collector. At 40 requests per
+// second a host then sends a few spans per second.
+const defaultTraceRatio = 0.01
 
 func newRunPlatformCmd() *cobra.Command {
-	var o observation
+	var o telemetryOptions
 	cmd := &cobra.Command{
 		Use:   "run-platform",
 		Short: "Run an entry host on the users' platform until SIGTERM; its settings are where the environment says",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := o.check(); err != nil {
+			if err := o.validate(); err != nil {
 				return err
 			}
 			return runPlatform(cmd.Context(), o)
@@ -72,51 +74,51 @@
 	}
 	cmd.Flags().StringVar(&o.logFormat, "log-format", string(settings.JSONLogs), "json or text")
 	cmd.Flags().StringVar(&o.collector, "trace-collector", "", "address of an OTLP collector for traces; none are sent without it")
-	cmd.Flags().Float64Var(&o.share, "trace-share", defaultTraceShare, "share of requests to trace, from 0 to 1")
+	cmd.Flags().Float64Var(&o.sampleRatio, "trace-share", defaultTraceRatio, "share of requests to trace, from 0 to 1")
 	return cmd
 }
 
-func runPlatform(ctx context.Context, o observation) error {
-	// A signal that came before anybody listens for it would end the process.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+func runPlatform(ctx context.Context, o telemetryOptions) error {
+	// A SIGHUP that arrives before anything handles it would end the process.
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	defer signal.Stop(hangup)
 	s, err := platform.ReadSettings()
 	if err != nil {
 		return err
 	}
-	lines := telemetry.NewLogWriter(os.Stdout)
-	defer lines.Close(flushWithin)
-	setUpLogger(logrus.StandardLogger(), lines, s.Host, o.logFormat)
-	usual := logrus.New()
-	setUpLogger(usual, lines.LowPriority(), s.Host, o.logFormat)
-	stopTraces, err := telemetry.StartTraces(s.Host, o.collector, o.share)
+	logWriter := telemetry.NewLogWriter(os.Stdout)
+	defer logWriter.Close(flushTimeout)
+	setUpLogger(logrus.StandardLogger(), logWriter, s.Host, o.logFormat)
+	routineLog := logrus.New()
+	setUpLogger(routineLog, logWriter.LowPriority(), s.Host, o.logFormat)
+	stopTraces, err := telemetry.StartTraces(s.Host, o.collector, o.sampleRatio)
 	if err != nil {
 		return err
 	}
-	defer endTraces(stopTraces)
+	defer flushTraces(stopTraces)
 	meter := telemetry.NewMeter()
-	meter.Gauge("log_lines_dropped", lines.Dropped)
+	meter.Gauge("log_lines_dropped", logWriter.Dropped)
 	klog.SetLogger(klog.NewFilter(klog.DefaultLogger, klog.FilterLevel(klog.LevelError)))
-	debug.SetMemoryLimit(int64(float64(s.Memory) * memoryShare))
-	debug.SetGCPercent(collectAt)
+	debug.SetMemoryLimit(int64(float64(s.Memory) * memoryLimitRatio))
+	debug.SetGCPercent(gcPercent)
 	store := platform.NewStore(s.Store, meter)
 	host, err := entry.NewHost(entry.Options{
 		Name: s.Host, Callers: s.Callers, Readiness: s.Readiness, Inner: s.Inner, FailureDomain: s.FailureDomain, Region: s.Region, Near: s.Near,
 		Protocol:       platform.Protocol{},
 		Configurations: platform.NewConfigurationFeed(store), Upstreams: platform.NewUpstreamFeed(store),
 		Peers: s.Peers, Strength: s.Strength, FirstStart: s.FirstStart, Board: platform.NewHostBoard(store), QuarantineBoard: platform.NewQuarantineBoard(store), Decode: platform.DecodeConfiguration,
-		Bounds: bounds(s.Bounds), Sockets: s.Sockets, MostBodies: int64(float64(s.Memory) * bodiesShare), Meter: meter, Usual: usual, Unusual: logrus.StandardLogger(),
+		Bounds: entryBounds(s.Bounds), Sockets: s.Sockets, MostBodies: int64(float64(s.Memory) * bodyMemoryRatio), Meter: meter, Usual: routineLog, Unusual: logrus.StandardLogger(),
 	})
 	if err != nil {
 		return err
 	}
-	go func() { follow(ctx, hangups, s, store, host) }()
-	served := host.Start(ctx)
-	return errors.Join(served, host.Stop())
+	go func() { watchSettings(ctx, hangup, s, store, host) }()
+	serveErr := host.Start(ctx)
+	return errors.Join(serveErr, host.Stop())
 }
 
-func bounds(b platform.Bounds) entry.Bounds {
+func entryBounds(b platform.Bounds) entry.Bounds {
 	return entry.Bounds{
 		Bounds:     membership.Bounds{Revoke: b.Revoke, InForce: b.InForce, Drain: b.Drain, Lapse: b.Lapse},
 		Grace:      b.Grace,
@@ -124,15 +126,16 @@
 	}
 }
 
-// follow puts changes of the settings file into force until the context ends.
-func follow(ctx context.Context, hangups <-chan os.Signal, inForce platform.Settings, store *platform.Store, host *entry.Host) {
-	ticker := time.NewTicker(reloadEvery)
+// watchSettings applies changes of the settings file until the context ends. It reads the file at each
+// interval and on SIGHUP.
+func watchSettings(ctx context.Context, hangup <-chan os.Signal, current platform.Settings, store *platform.Store, host *entry.Host) {
+	ticker := time.NewTicker(settingsReloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-hangup:
 			logrus.Info("settings: Reading the file again after SIGHUP.")
 		case <-ticker.C:
 		}
@@ -141,29 +144,29 @@
 			logrus.WithError(err).Warn("settings: The file cannot be used. The last settings stay in force.")
 			continue
 		}
-		if s.Equal(inForce) {
+		if s.Equal(current) {
 			continue
 		}
-		if s.Callers != inForce.Callers || s.Readiness != inForce.Readiness || s.Inner != inForce.Inner {
+		if s.Callers != current.Callers || s.Readiness != current.Readiness || s.Inner != current.Inner {
 			logrus.Warn("settings: Addresses to listen on change only with a restart.")
 		}
 		store.SetAddress(s.Store)
-		host.SetBounds(bounds(s.Bounds))
-		inForce = s
+		host.SetBounds(entryBounds(s.Bounds))
+		current = s
 		logrus.WithFields(logrus.Fields{"store": s.Store, "revoke": s.Bounds.Revoke.String(), "drain": s.Bounds.Drain.String(), "in-force": s.Bounds.InForce.String()}).Info("settings: The changed file is in force.")
 	}
 }
 
-// endTraces sends the last traces off.
-func endTraces(stop func(context.Context) error) {
-	ctx, cancel := context.WithTimeout(context.Background(), flushWithin)
+// flushTraces sends the remaining traces.
+func flushTraces(stop func(context.Context) error) {
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	if err := stop(ctx); err != nil {
 		logrus.WithError(err).Warn("entry: The last traces were not sent.")
 	}
 }
 
-// setUpLogger makes a logger write lines that name the host.
+// setUpLogger makes a logger write to out in the given format and add the host's name to each line.
 func setUpLogger(l *logrus.Logger, out io.Writer, host, format string) {
 	l.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	if format == string(settings.TextLogs) {
@@ -173,13 +176,13 @@
 	l.AddHook(hostHook{host})
 }
 
-// hostHook adds the host's name to each line.
+// hostHook adds the host's name to each log line.
 type hostHook struct{ host string }
 
-// Levels returns all levels.
+// Levels returns all levels, so that the hook applies to each line.
 func (hostHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire adds the host's name.
+// Fire adds the host's name to the entry; it returns no error.
 func (h hostHook) Fire(e *logrus.Entry) error {
 	e.Data["host"] = h.host
 	return nil
