--- a/jackdawd/internal/telemetry/meter.go
+++ b/jackdawd/internal/telemetry/meter.go
@@ -103,8 +103,8 @@
 	m.registry.GetOrRegister(name, metrics.NewFunctionalGauge(read))
 }
 
-// Family registers a gauge with one label. Whenever metrics are collected, read returns its values by
-// label value. Family must be called before Handler.
+// Family registers a gauge with one label, before Handler is called.
+// Whenever metrics are collected, read returns the gauge's values by label value.
 func (m *Meter) Family(name, label string, read func() map[string]int64) {
 	m.families = append(m.families, gaugeFamily{name: name, label: label, read: read})
 }
--- a/jackdawd/internal/work/item.go
+++ b/jackdawd/internal/work/item.go
@@ -42,7 +42,7 @@
 	Seen []peers.Row `json:"seen,omitempty"`
 }
 
-// Returning reports whether the chat has had a response before, that is, has more than one message.
+// Returning reports whether the chat has had a response before: it has several messages then.
 func (i *Item) Returning() bool {
 	return len(i.Messages) > 1
 }
--- a/jackdawd/internal/work/refusal.go
+++ b/jackdawd/internal/work/refusal.go
@@ -71,8 +71,9 @@
 	return &Refusal{Status: http.StatusBadGateway, Code: code, Outcome: Unknown, Message: fmt.Sprintf(format, args...)}
 }
 
-// Retry sets the time after which the caller may retry and returns the refusal. It adds jitter of up to
-// half of the delay, so that callers refused together don't retry at the same time.
+// Retry sets the time after which the caller may retry and returns the refusal.
+// It adds jitter of up to half of the delay, so that callers refused together don't retry at the
+// same time.
 func (r *Refusal) Retry(delay time.Duration) *Refusal {
 	r.RetryAfter = delay + rand.N(delay/2+1)
 	return r
