--- a/jackdawd/internal/fleet/clients.go
+++ b/jackdawd/internal/fleet/clients.go
@@ -6,16 +6,16 @@
 	"jackdawhinge/common/peers"
 )
 
-// Bytes returns how many bytes the exchanges with other hosts have carried both ways.
+// Bytes returns the number of bytes sent and received in calls between this host and others.
 func (s *Source) Bytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.bytes
+	n := s.closedClientBytes
 	for _, c := range s.clients {
 		n += c.Bytes()
 	}
-	if s.cases != nil {
-		n += s.cases.Bytes()
+	if s.quarantineClient != nil {
+		n += s.quarantineClient.Bytes()
 	}
 	if s.server != nil {
 		n += s.server.Bytes()
@@ -23,14 +23,14 @@
 	return n
 }
 
-// client returns the client for calls to another host.
-func (s *Source) client(p Peer) *peers.Client {
+// clientFor returns the client for calls to another host.
+func (s *Source) clientFor(peer Peer) *peers.Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c, ok := s.clients[p]
+	c, ok := s.clients[peer]
 	if !ok {
-		c = s.newClient(p.Secret)
-		s.clients[p] = c
+		c = s.newClient(peer.Secret)
+		s.clients[peer] = c
 	}
 	return c
 }
@@ -43,21 +43,21 @@
 	return peers.NewClientOf(secret, dial)
 }
 
-// closeClient closes a client that was made for one call.
+// closeClient closes a client that was created for a single call.
 func (s *Source) closeClient(c *peers.Client) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bytes += c.Bytes()
+	s.closedClientBytes += c.Bytes()
 }
 
-// dropClient forgets the client of a reader, which may never come back under its secret.
-func (s *Source) dropClient(p Peer) {
+// dropClient discards the client of a host, which may never come back with the same secret.
+func (s *Source) dropClient(peer Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c, ok := s.clients[p]; ok {
+	if c, ok := s.clients[peer]; ok {
 		c.Close()
-		s.bytes += c.Bytes()
-		delete(s.clients, p)
+		s.closedClientBytes += c.Bytes()
+		delete(s.clients, peer)
 	}
 }
--- a/jackdawd/internal/fleet/deadline.go
+++ b/jackdawd/internal/fleet/deadline.go
@@ -12,93 +12,95 @@
 )
 
 const (
-	// ownShare is the part of an operators' bound after which a host that has heard nothing from others reads
-	// the store itself; the rest is for that read.
-	ownShare = 0.8
-	// crowdedRetry is the least time between two such reads that fail where hosts wait for each other: the store is
-	// probably away for all of them.
-	crowdedRetry = 10 * time.Second
+	// directReadRatio is the fraction of an operator's bound after which a host that has heard
+	// nothing from other hosts reads the store itself. The rest of the bound is left for that read.
+	directReadRatio = 0.8
+	// directReadRetryInterval is the minimum interval between failed direct reads in fleets of at
+	// least smallFleetThreshold hosts, where the store is probably down for all of them.
+	directReadRetryInterval = 10 * time.Second
 )
 
-// ownRead is a read of the store that could not wait for other hosts.
-type ownRead struct {
+// directRead is a read of the store made without waiting for other hosts any longer.
+type directRead struct {
 	at     time.Time
 	failed bool
 }
 
-// A BoundError says that hosts cannot keep a bound of the operators by telling each other.
+// A BoundError says that an operator's bound is too short to be kept by relying on
+// other hosts.
 type BoundError struct {
-	// Bound names it.
+	// Bound is the name of the bound, Limit its value.
 	Bound string
-	Is    time.Duration
-	// Tells is how old what hosts tell each other may be.
-	Tells time.Duration
+	Limit time.Duration
+	// MaxPeerAge is how old information from other hosts may be.
+	MaxPeerAge time.Duration
 }
 
-// Error returns the bound and what it is compared with.
+// Error returns the bound and the age it is compared with.
 func (e *BoundError) Error() string {
-	return fmt.Sprintf("bound %s of %s is short: what hosts tell each other may be %s old", e.Bound, e.Is, e.Tells)
+	return fmt.Sprintf("bound %s of %s is short: what hosts tell each other may be %s old", e.Bound, e.Limit, e.MaxPeerAge)
 }
 
-// checkBounds returns an error if hosts must ask the store themselves to keep a bound.
+// checkBounds returns a BoundError if hosts must read the store themselves to keep a bound.
 func (s *Source) checkBounds() error {
-	if s.oldestConfiguration() > time.Duration(ownShare*float64(s.inForce())) {
-		return &BoundError{Bound: "in-force", Is: s.inForce(), Tells: s.oldestConfiguration()}
+	if s.maxConfigurationAge() > time.Duration(directReadRatio*float64(s.inForce())) {
+		return &BoundError{Bound: "in-force", Limit: s.inForce(), MaxPeerAge: s.maxConfigurationAge()}
 	}
-	if s.oldestList() > time.Duration(ownShare*float64(s.drain())) {
-		return &BoundError{Bound: "drain", Is: s.drain(), Tells: s.oldestList()}
+	if s.maxListAge() > time.Duration(directReadRatio*float64(s.drain())) {
+		return &BoundError{Bound: "drain", Limit: s.drain(), MaxPeerAge: s.maxListAge()}
 	}
 	return nil
 }
 
-// timeLeft returns for how long the host may go on asking others before it must read the store itself.
-// It is negative once that moment has passed.
-func (s *Source) timeLeft() time.Duration {
-	left := time.Duration(math.MaxInt64)
-	if age := s.beliefs.Age(); age < neverListed {
-		left = time.Duration(ownShare*float64(s.inForce())) - age
+// timeUntilDirectRead returns how long the host may still rely on other hosts before it must read
+// the store itself. It is negative once that time has passed.
+func (s *Source) timeUntilDirectRead() time.Duration {
+	remaining := time.Duration(math.MaxInt64)
+	if age := s.state.Age(); age < unknownAge {
+		remaining = time.Duration(directReadRatio*float64(s.inForce())) - age
 	}
-	if age := s.ListAge(); age < neverListed {
-		left = min(left, time.Duration(ownShare*float64(s.drain()))-age)
+	if age := s.ListAge(); age < unknownAge {
+		remaining = min(remaining, time.Duration(directReadRatio*float64(s.drain()))-age)
 	}
-	return left
+	return remaining
 }
 
-// callTime returns how long a call to another host may take: the store must be read in time if it is not answered.
-func (s *Source) callTime() time.Duration {
-	if left := s.timeLeft(); left > 0 {
-		return min(longestCall, left)
+// callTimeout returns the timeout of a call to another host. It leaves enough time to read the
+// store if the call is not answered.
+func (s *Source) callTimeout() time.Duration {
+	if remaining := s.timeUntilDirectRead(); remaining > 0 {
+		return min(maxCallTimeout, remaining)
 	}
-	return longestCall
+	return maxCallTimeout
 }
 
-// mustRead reports whether the store is to be read now, whatever other hosts say.
-func (c configurations) mustRead() bool {
-	if c.timeLeft() > 0 {
+// mustReadStore reports whether the host must read the store now, whatever other hosts say.
+func (c configurations) mustReadStore() bool {
+	if c.timeUntilDirectRead() > 0 {
 		return false
 	}
-	pause := c.readerWait()
+	interval := c.readerWait()
 	switch {
-	case c.ownRead.failed && c.directory.Crowded():
-		pause = crowdedRetry
-	case c.ownRead.failed:
-		pause = lostPause
+	case c.lastDirectRead.failed && c.directory.IsMediumOrLarge():
+		interval = directReadRetryInterval
+	case c.lastDirectRead.failed:
+		interval = staleRetryInterval
 	}
-	return time.Since(c.ownRead.at) >= pause
+	return time.Since(c.lastDirectRead.at) >= interval
 }
 
-// readInTime reads the configuration from the store as nothing was heard of it in time. The upstreams are read there too
-// if the list of them is too old.
-func (c configurations) readInTime(ctx context.Context) (*traffic.Configuration, error) {
+// readStoreDirectly reads the configuration from the store because no other host sent it in time.
+// If the list of upstreams is too old as well, it is read from the store too.
+func (c configurations) readStoreDirectly(ctx context.Context) (*traffic.Configuration, error) {
 	logrus.WithFields(logrus.Fields{
-		"peer": c.Following(), "configuration-age": c.beliefs.Age().String(), "list-age": c.ListAge().String(),
+		"peer": c.Following(), "configuration-age": c.state.Age().String(), "list-age": c.ListAge().String(),
 	}).Info("fleet: Nothing was heard in time. The store is asked.")
 	next, err := c.readConfiguration(ctx, 0)
-	c.ownRead = ownRead{at: time.Now(), failed: err != nil}
+	c.lastDirectRead = directRead{at: time.Now(), failed: err != nil}
 	if err != nil {
 		return nil, err
 	}
-	if c.ListAge() > c.oldestList() {
+	if c.ListAge() > c.maxListAge() {
 		c.setFollowing(nil)
 	}
 	return next, nil
--- a/jackdawd/internal/fleet/directory.go
+++ b/jackdawd/internal/fleet/directory.go
@@ -13,85 +13,85 @@
 )
 
 const (
-	// firstSuspicion is how long a host that did not answer is not asked; it doubles up
-	// to longestSuspicion.
-	firstSuspicion   = 2 * time.Second
-	longestSuspicion = time.Minute
-	// longestStale bounds it for a host that answers but has lost the store itself: it is
-	// back as soon as the store is.
-	longestStale = 4 * time.Second
-	// goneAfter is how long a host has not answered when its notice is removed. A host
-	// that lives writes another one.
-	goneAfter = 30 * time.Second
-	// rememberedHosts is how many hosts that were removed are remembered: those that are
-	// replaced in two days.
-	rememberedHosts = 200
+	// minSuspectBackoff is how long a host that did not answer is skipped at first; the backoff
+	// doubles up to maxSuspectBackoff.
+	minSuspectBackoff = 2 * time.Second
+	maxSuspectBackoff = time.Minute
+	// maxStaleBackoff is the maximum for a host that answers but has lost the store, since it
+	// recovers as soon as the store does.
+	maxStaleBackoff = 4 * time.Second
+	// unreachableTimeout is how long a host has not answered before its registration is removed. A
+	// host that is still alive registers again.
+	unreachableTimeout = 30 * time.Second
+	// maxTombstones is how many removed hosts are remembered: as many as are replaced in two days.
+	maxTombstones = 200
 )
 
-// A Notice is what a host writes of itself for the others.
-type Notice struct {
+// A Registration is what a host publishes about itself.
+type Registration struct {
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure-domain"`
 	Region        string `json:"region"`
-	// Secret is what callers must know to be answered.
+	// Secret authenticates callers of the host.
 	Secret string `json:"secret"`
-	// Strength compares hosts: how much they can send and compute.
+	// Strength is the host's relative network and compute capacity.
 	Strength float64 `json:"strength"`
 }
 
-// A Peer is another host of the system.
+// A Peer is a host of the fleet, by name and registration.
 type Peer struct {
 	Name string
-	Notice
+	Registration
 }
 
-// suspicion is what this host holds against another one.
-type suspicion struct {
-	since time.Time
-	until time.Time
-	wait  time.Duration
+// suspect is the backoff state of a host that did not answer or had lost the store.
+type suspect struct {
+	since   time.Time
+	until   time.Time
+	backoff time.Duration
 }
 
-// A HostEntry is what stands on the board of one host, nothing if it was removed.
+// A HostEntry is the registration of one host as hosts send it to each other. Notice is nil if the
+// registration was removed.
 type HostEntry struct {
 	Name   string
-	Notice *Notice
+	Notice *Registration
 }
 
-// entry is a host entry and the position on the board at which it was known.
-type entry struct {
-	notice *Notice
-	at     traffic.LogPosition
-	// unlisted is set if an older copy of the board lacks it. Hosts that know the copy alone must
-	// hear of it once it is written again.
+// directoryEntry is the registration of a host and the log position at which it was learned.
+type directoryEntry struct {
+	registration *Registration
+	position     traffic.LogPosition
+	// unlisted is set if a store restored from an older backup lacks the host. Hosts that started
+	// from the backup must be sent the entry once the host registers again.
 	unlisted bool
 }
 
-// A Directory is the hosts that are known here, as they stood on the board when this host
-// or another one read it.
+// A Directory is the set of known hosts, as this host or another one read it from the store.
 type Directory struct {
 	self Peer
 	mu   sync.Mutex
-	// board is what is known of the board up to a position, hosts the same and this host.
-	board map[string]entry
-	until traffic.LogPosition
-	// forgotten is the position up to which hosts that were removed may be missing.
-	forgotten traffic.LogPosition
-	hosts     map[string]Notice
-	suspects  map[string]suspicion
-	// turnedAway is until when the store is taken to turn this host away.
-	turnedAway time.Time
-	// ordered keeps the hosts of each failure domain of the region in their order.
-	ordered map[string][]Peer
+	// entries holds what is known up to position, with tombstones of removed hosts; hosts holds the
+	// existing ones, including this host.
+	entries  map[string]directoryEntry
+	position traffic.LogPosition
+	// prunedTo is the position up to which tombstones may be missing.
+	prunedTo traffic.LogPosition
+	hosts    map[string]Registration
+	suspects map[string]suspect
+	// rejectedUntil is the time until which this host assumes that the store rejects it.
+	rejectedUntil time.Time
+	// byDomain holds the hosts of each failure domain of the region by rank.
+	byDomain map[string][]Peer
 }
 
-// NewDirectory returns a directory that knows this host alone.
+// NewDirectory returns a directory that contains only this host.
 func NewDirectory(self Peer) *Directory {
 	d := &Directory{
-		self: self, board: map[string]entry{}, hosts: map[string]Notice{self.Name: self.Notice},
-		suspects: map[string]suspicion{},
+		self: self, entries: map[string]directoryEntry{}, hosts: map[string]Registration{self.Name: self.Registration},
+		suspects: map[string]suspect{},
 	}
-	d.changed()
+	d.rebuild()
 	return d
 }
 
@@ -102,191 +102,194 @@
 	return d.self
 }
 
-// Take takes in what was read of the board up to a position, nil where a notice was removed;
-// whole is set if the notices are all that there are. Hosts that an older copy of the board lacks stay known: they
-// write their notices again. It reports whether this host's own is missing.
-func (d *Directory) Take(notices map[string][]byte, whole bool, until traffic.LogPosition) (missing bool) {
-	decoded := decodeNotices(notices)
+// Update applies registrations read from the store up to a position, with nil for a removed one;
+// whole is set if they are all existing registrations. Hosts that are missing because the store was
+// restored from an older backup stay known, since they register again. It reports whether this
+// host's own registration is missing.
+func (d *Directory) Update(encoded map[string][]byte, whole bool, until traffic.LogPosition) (missing bool) {
+	decoded := decodeRegistrations(encoded)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if until.Before(d.until) {
-		return d.missing()
+	if until.Before(d.position) {
+		return d.selfMissing()
 	}
 	if whole {
-		d.takeUnlisted(decoded, until.Era == d.until.Era)
+		d.updateUnlisted(decoded, until.Era == d.position.Era)
 	}
-	for name, n := range decoded {
-		if e := d.board[name]; e.unlisted || !same(e.notice, n) {
-			d.put(name, n, until)
+	for name, registration := range decoded {
+		if e := d.entries[name]; e.unlisted || !sameRegistration(e.registration, registration) {
+			d.set(name, registration, until)
 		}
 	}
-	d.until = until
-	d.changed()
-	return d.missing()
+	d.position = until
+	d.rebuild()
+	return d.selfMissing()
 }
 
-// takeUnlisted takes in that all notices lack some hosts: they were removed, unless the board is an older copy; the
-// lock must be held.
-func (d *Directory) takeUnlisted(all map[string]*Notice, removed bool) {
-	for name, e := range d.board {
-		if _, listed := all[name]; listed {
+// updateUnlisted handles hosts that a complete list does not contain: they were removed, unless the
+// store was restored from an older backup. The lock must be held.
+func (d *Directory) updateUnlisted(decoded map[string]*Registration, removed bool) {
+	for name, e := range d.entries {
+		if _, listed := decoded[name]; listed {
 			continue
 		}
 		if removed {
-			all[name] = nil
+			decoded[name] = nil
 			continue
 		}
 		e.unlisted = true
-		d.board[name] = e
+		d.entries[name] = e
 	}
 }
 
-// Learn takes in what another host knows of the board up to a position, if that is more than
-// this one does, and reports whether this host's own notice is missing there.
-func (d *Directory) Learn(entries []HostEntry, whole bool, until traffic.LogPosition) (missing bool) {
+// Merge applies entries received from another host if its position is newer than this one's. It
+// reports whether this host's own registration is missing there.
+func (d *Directory) Merge(entries []HostEntry, whole bool, until traffic.LogPosition) (missing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.until.Before(until) {
+	if !d.position.Before(until) {
 		return false
 	}
 	if whole {
-		clear(d.board)
+		clear(d.entries)
 	}
 	for _, e := range entries {
-		d.put(e.Name, e.Notice, until)
+		d.set(e.Name, e.Notice, until)
 	}
-	d.until = until
-	d.changed()
-	return d.missing()
+	d.position = until
+	d.rebuild()
+	return d.selfMissing()
 }
 
-// Since returns what has changed on the board since a position, as far as this host knows, and
-// up to which. Whole is set if the entries are all that there are, for a host that may know
-// of others which were removed long ago.
+// Since returns the entries changed after a position and the position they are valid at. Whole is
+// set if all entries are returned, because tombstones that the caller may need were pruned.
 func (d *Directory) Since(position traffic.LogPosition) (entries []HostEntry, whole bool, until traffic.LogPosition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	whole = position.Before(d.forgotten)
-	for name, e := range d.board {
-		if position.Before(e.at) || whole {
-			entries = append(entries, HostEntry{Name: name, Notice: e.notice})
+	whole = position.Before(d.prunedTo)
+	for name, e := range d.entries {
+		if position.Before(e.position) || whole {
+			entries = append(entries, HostEntry{Name: name, Notice: e.registration})
 		}
 	}
-	return entries, whole, d.until
+	return entries, whole, d.position
 }
 
-// Until returns up to which position the board is known.
-func (d *Directory) Until() traffic.LogPosition {
+// Position returns the log position up to which the host list is known.
+func (d *Directory) Position() traffic.LogPosition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.until
+	return d.position
 }
 
-// put takes in a host's notice, nil if it was removed; the lock must be held. What was removed
-// is remembered for hosts below that still know it.
-func (d *Directory) put(name string, n *Notice, at traffic.LogPosition) {
-	if !same(d.board[name].notice, n) {
-		// Another process answers there now, or none.
+// set records a host's registration, nil for a removed one, which stays as a tombstone for children
+// that still know the host. The lock must be held.
+func (d *Directory) set(name string, registration *Registration, position traffic.LogPosition) {
+	if !sameRegistration(d.entries[name].registration, registration) {
+		// The new registration belongs to another process, or the host is gone.
 		delete(d.suspects, name)
 	}
-	d.board[name] = entry{notice: n, at: at}
+	d.entries[name] = directoryEntry{registration: registration, position: position}
 }
 
-// same reports whether two notices, nil for none, are the same.
-func same(a, b *Notice) bool { return a == b || (a != nil && b != nil && *a == *b) }
+// sameRegistration reports whether two registrations, nil for none, are equal.
+func sameRegistration(a, b *Registration) bool { return a == b || (a != nil && b != nil && *a == *b) }
 
-// forget drops the hosts that were removed longest ago if there are too many; the lock must be held.
-func (d *Directory) forget() {
-	var gone []string
-	for name, e := range d.board {
-		if e.notice == nil {
-			gone = append(gone, name)
+// pruneTombstones drops the oldest tombstones beyond maxTombstones. The lock must be held.
+func (d *Directory) pruneTombstones() {
+	var removed []string
+	for name, e := range d.entries {
+		if e.registration == nil {
+			removed = append(removed, name)
 		}
 	}
-	if len(gone) <= rememberedHosts {
+	if len(removed) <= maxTombstones {
 		return
 	}
-	slices.SortFunc(gone, func(a, b string) int { return d.board[a].at.Compare(d.board[b].at) })
-	for _, name := range gone[:len(gone)-rememberedHosts] {
-		if at := d.board[name].at; d.forgotten.Before(at) {
-			d.forgotten = at
+	slices.SortFunc(removed, func(a, b string) int { return d.entries[a].position.Compare(d.entries[b].position) })
+	for _, name := range removed[:len(removed)-maxTombstones] {
+		if position := d.entries[name].position; d.prunedTo.Before(position) {
+			d.prunedTo = position
 		}
-		delete(d.board, name)
+		delete(d.entries, name)
 	}
 }
 
-// missing reports whether this host's own notice is not on the board; the lock must be held.
-func (d *Directory) missing() bool {
-	own := d.board[d.self.Name].notice
-	return own == nil || *own != d.self.Notice
+// selfMissing reports whether this host's own registration is missing. The lock must be held.
+func (d *Directory) selfMissing() bool {
+	registration := d.entries[d.self.Name].registration
+	return registration == nil || *registration != d.self.Registration
 }
 
-func decodeNotices(notices map[string][]byte) map[string]*Notice {
-	decoded := map[string]*Notice{}
-	for name, text := range notices {
-		if text == nil {
+func decodeRegistrations(encoded map[string][]byte) map[string]*Registration {
+	decoded := map[string]*Registration{}
+	for name, data := range encoded {
+		if data == nil {
 			decoded[name] = nil
 			continue
 		}
-		var n Notice
-		if err := json.Unmarshal(text, &n); err != nil {
+		var registration Registration
+		if err := json.Unmarshal(data, &registration); err != nil {
 			logrus.WithError(err).WithField("peer", name).Warn("fleet: A host's notice cannot be read.")
 			continue
 		}
-		decoded[name] = &n
+		decoded[name] = &registration
 	}
 	return decoded
 }
 
-// Adopt makes this host go by the notice that an earlier process of it wrote, if only the
-// secret differs, and reports whether it did. Others then need not learn of a restart:
-// those who knew the earlier process reach this one.
-func (d *Directory) Adopt(earlier Notice) bool {
+// Adopt makes this host use the registration that an earlier process of it published, if only the
+// secret differs, and reports whether it did. Hosts that knew the earlier process then reach this
+// one without learning of the restart.
+func (d *Directory) Adopt(earlier Registration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	own := d.self.Notice
+	own := d.self.Registration
 	own.Secret = earlier.Secret
 	if earlier.Secret == "" || own != earlier {
 		return false
 	}
-	d.self.Notice = own
-	d.changed()
+	d.self.Registration = own
+	d.rebuild()
 	return true
 }
 
-// Large reports whether there are so many hosts that they must not all read the store at once.
-func (d *Directory) Large() bool {
+// IsLarge reports whether the fleet is too large for all starting hosts to read the upstreams from
+// the store at once.
+func (d *Directory) IsLarge() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.hosts) >= largeFleet
+	return len(d.hosts) >= largeFleetThreshold
 }
 
-// Crowded reports whether there are so many hosts that they must not all look for the store.
-func (d *Directory) Crowded() bool {
+// IsMediumOrLarge reports whether the fleet is too large for all hosts to retry the store
+// themselves when their parents are stale.
+func (d *Directory) IsMediumOrLarge() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.small()
+	return !d.isSmall()
 }
 
-// small reports whether there are so few hosts that all may look for the store; the lock must be held.
-func (d *Directory) small() bool { return len(d.hosts) < smallFleet }
+// isSmall reports whether the fleet is small enough for all hosts to retry the store themselves.
+// The lock must be held.
+func (d *Directory) isSmall() bool { return len(d.hosts) < smallFleetThreshold }
 
-// Size returns how many hosts are known.
+// Size returns the number of known hosts, including this one.
 func (d *Directory) Size() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.hosts)
 }
 
-// All returns the hosts known.
-func (d *Directory) All() map[string]Notice {
+// All returns the registrations of the known hosts by name.
+func (d *Directory) All() map[string]Registration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return maps.Clone(d.hosts)
 }
 
-// Suspect takes in that a host did not answer, or answers but has lost the store; it
-// reports whether the host has not answered for so long that it must be gone.
+// Suspect records that a host did not answer, or that it answered with stale data. It reports
+// whether the host has not answered for so long that it is considered gone.
 func (d *Directory) Suspect(now time.Time, name string, stale bool) (gone bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -294,32 +297,32 @@
 	if !ok || stale {
 		s.since = now
 	}
-	longest := longestSuspicion
+	maxBackoff := maxSuspectBackoff
 	if stale {
-		longest = longestStale
+		maxBackoff = maxStaleBackoff
 	}
-	s.wait = min(max(2*s.wait, firstSuspicion), longest)
-	s.until = now.Add(s.wait)
+	s.backoff = min(max(2*s.backoff, minSuspectBackoff), maxBackoff)
+	s.until = now.Add(s.backoff)
 	d.suspects[name] = s
-	return now.Sub(s.since) > goneAfter
+	return now.Sub(s.since) > unreachableTimeout
 }
 
-// Trust takes in that a host answered.
-func (d *Directory) Trust(name string) {
+// ClearSuspect records that a host answered.
+func (d *Directory) ClearSuspect(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.suspects, name)
 }
 
-// changed takes note of other hosts; the lock must be held.
-func (d *Directory) changed() {
-	d.forget()
-	d.hosts = map[string]Notice{}
-	for name, e := range d.board {
-		if e.notice != nil {
-			d.hosts[name] = *e.notice
+// rebuild recomputes the host list and ranking from the entries. The lock must be held.
+func (d *Directory) rebuild() {
+	d.pruneTombstones()
+	d.hosts = map[string]Registration{}
+	for name, e := range d.entries {
+		if e.registration != nil {
+			d.hosts[name] = *e.registration
 		}
 	}
-	d.hosts[d.self.Name] = d.self.Notice
-	d.ordered = d.order()
+	d.hosts[d.self.Name] = d.self.Registration
+	d.byDomain = d.hostsByDomain()
 }
--- a/jackdawd/internal/fleet/doc.go
+++ b/jackdawd/internal/fleet/doc.go
@@ -1,14 +1,15 @@
-// Package fleet lets the hosts of the system learn from each other, so that few of
-// them need to call the platform's store: two hosts of a region read it, and the others
-// follow in a tree whose branches are the failure domains.
+// Package fleet distributes configuration, upstream lists and load information between the hosts of
+// a region, so that only few of them call the platform's store. Two hosts per region, the readers,
+// read the store; the others follow them in a tree whose branches are the failure domains. Package
+// entry creates the Source, and the host's membership keeper reads configuration and upstreams from
+// it.
 //
-// Nothing here is agreed upon. Each host decides by its own list of hosts whom it
-// follows; if lists differ, some hosts more read the store. What a follower knows is as
-// old as what the host above knew plus the time of the call, and both are counted, so
-// that its bounds hold whatever the host above does; one that is silent or itself behind
-// is left for the store, and then for another one.
+// There is no consensus. Each host picks its parent from its own host list; if lists differ, a few
+// more hosts read the store. A follower's data is as old as its parent's plus the duration of the
+// call. Both are counted, so that the follower's age bounds hold whatever the parent does. A parent
+// that does not answer or is itself stale is left for the store, and later for another parent.
 //
-// Along the same tree hosts exchange what upstreams told of their loads, and what speaks
-// against upstreams. Which requests crash upstreams is told at once in calls of its own, and
-// kept on a board in the store.
+// Along the same tree hosts exchange the load of upstreams, failure scores of upstreams, and the
+// placement plans that the root of the region computes. Requests that crash upstreams are reported
+// in separate calls without delay and are kept in the store.
 package fleet
--- a/jackdawd/internal/fleet/exchange.go
+++ b/jackdawd/internal/fleet/exchange.go
@@ -14,361 +14,367 @@
 )
 
 const (
-	// planEvery is how often the region's first host draws a plan: shortly before a
-	// follower's call would end without news, so that plans cost no calls of their own.
-	planEvery = 500 * time.Millisecond
-	// planStep is how much newer a plan must be to be another one: two calls on the way from one
-	// drawing differ by less.
-	planStep = 50 * time.Millisecond
-	// planBudget is what a host may tell of plans to all its followers, in bytes a second. With
-	// two of them, whose calls take 1.4 KB a second each with what they tell, a host keeps below
-	// 5 KB a second. Each plan of placement.MostPlanBytes goes to each follower.
-	planBudget = 700
-	// planCredit is for how long ahead a host may spend that: a plan that is drawn for a prompt which
-	// many ask for all at once follows another one sooner than the budget alone allows.
-	planCredit = planEvery
-	// gatherStep is how long a host waits for the hosts below to tell it what is new before it
-	// tells the host above, for each step that there is below it. All of them call again
-	// when they hear news, within some milliseconds; so what the lowest know is with the region's
-	// first host within a few of them, and not a call later for each step.
-	gatherStep = 40 * time.Millisecond
-	// mostSteps bounds the steps that count: more than any fleet has.
-	mostSteps = 10
-	// exchangeTimeout is how long beyond its waiting an exchange may take.
+	// planInterval is how often the root of the region computes a plan: shortly before a follower's
+	// long poll would time out, so that distributing plans costs no extra calls.
+	planInterval = 500 * time.Millisecond
+	// planAgeTolerance is the minimum age difference between two distinct plans. The computed age
+	// of one plan varies by less between calls.
+	planAgeTolerance = 50 * time.Millisecond
+	// planBytesPerSecond is a host's budget for sending plans to all its followers. With two
+	// followers, whose other traffic takes 1.4 KB/s each, a host stays below 5 KB/s. A plan of
+	// placement.MostPlanBytes fits for each follower every planInterval.
+	planBytesPerSecond = 700
+	// planBurstWindow is how far ahead a host may spend the plan budget. A plan triggered by a
+	// sudden rise in requests for one prompt follows the previous one sooner than the budget alone
+	// allows.
+	planBurstWindow = planInterval
+	// gatherTimeoutPerLevel is how long, per level of the tree below it, a host waits for its
+	// children to report before it reports to its own parent. All hosts call again within
+	// milliseconds of an update, so reports of the leaves reach the root within milliseconds per
+	// level instead of one long poll per level.
+	gatherTimeoutPerLevel = 40 * time.Millisecond
+	// maxDepth bounds the levels that are counted. No fleet is deeper.
+	maxDepth = 10
+	// exchangeTimeout is how long an exchange may take beyond the time it is held open.
 	exchangeTimeout = 300 * time.Millisecond
-	// presentFor is for how long after its last call a host counts as being below: a call is
-	// held for followWait, and the next one follows when the hosts below that one have called.
-	// When half of the hosts lost power, those that had followed them told others after 1.1 s;
-	// counted for 2.4 s at the dead ones' own neighbors too, 300 requests were taken for 690.
-	presentFor = followWait + mostSteps*gatherStep
-	// neighborLifetime is how long what hosts told of each other holds: three calls. A host that did
-	// not call for longer tells everything again, else only what has changed; so what it told
-	// is kept for twice as long.
-	neighborLifetime = 3 * followWait
+	// childTimeout is how long after its last call a host still counts as a child: one long poll,
+	// plus the time that the host waits for its own children before the next one. When half the
+	// hosts lost power, the remaining children of dead hosts reported to another parent after
+	// 1.1 s; with a timeout of 2.4 s their requests were counted twice, 690 instead of 300.
+	childTimeout = followPollWait + maxDepth*gatherTimeoutPerLevel
+	// childStateTTL is how long reported state remains valid: three calls. A host that has not
+	// called for longer reports everything again, otherwise only changes; its state is therefore
+	// kept for twice as long.
+	childStateTTL = 3 * followPollWait
 )
 
-// Evidence is what speaks against upstreams, by the short hash of their identifiers.
-type Evidence interface {
-	// Scores returns this host's own, TakeScores takes in those of all others, added up.
+// FailureScores provides failure scores of upstreams, keyed by the short hashes of their
+// identifiers.
+type FailureScores interface {
+	// Scores returns this host's own scores; TakeScores sets the sum of all other hosts' scores.
 	Scores() map[uint32]float64
 	TakeScores(others map[uint32]float64)
 }
 
-// Plans holds how prompts are spread over engines.
+// Plans holds the plan that spreads prompts over engines, and the requests it is computed from.
 type Plans interface {
-	// InProgress returns what is in progress here.
+	// InProgress returns the requests in progress at this host.
 	InProgress() placement.InProgress
-	// Plan returns the plan in force, nil if there is none, and when it was drawn.
+	// Plan returns the current plan, or nil, and when it was computed.
 	Plan(now time.Time) (*placement.Plan, time.Time)
-	// Take takes over a plan that was drawn elsewhere at a moment.
+	// Take adopts a plan that another host computed at the given time.
 	Take(p *placement.Plan, at time.Time)
-	// Draw draws a plan from what is in progress at all hosts.
+	// Draw computes a plan from the requests in progress at all hosts.
 	Draw(now time.Time, all placement.InProgress)
-	// Rising reports whether many more ask for a prompt than the plan says.
+	// Rising reports whether requests for some prompt far exceed what the plan provides for.
 	Rising(all placement.InProgress) bool
 }
 
-// neighbors are the hosts below that exchange with this one, and what all hosts of the
-// region have told.
-type neighbors struct {
-	mu    sync.Mutex
-	below map[string]neighbor
-	// region is what speaks against upstreams at all hosts, as it was told at a moment.
-	region   map[uint32]float64
-	regionAt time.Time
-	// heard is raised when a host below has told something.
-	heard *signal
+// subtree holds the state reported by this host's children, and the failure scores of the whole
+// region.
+type subtree struct {
+	mu       sync.Mutex
+	children map[string]child
+	// regionScores are the failure scores of all hosts, as received at regionScoresAt.
+	regionScores   map[uint32]float64
+	regionScoresAt time.Time
+	// reported is raised when a child has reported.
+	reported *signal
 }
 
-// neighbor is what a host below has told last.
-type neighbor struct {
-	at         time.Time
+// child is the last reported state of a child.
+type child struct {
+	lastCall   time.Time
 	scores     map[uint32]float64
 	inProgress placement.InProgress
-	// steps is how many steps there are below it.
-	steps int
-	// paidUntil is until when the plans that it was told use its part of the budget up.
-	paidUntil time.Time
+	// depth is the number of levels below the child.
+	depth int
+	// budgetUsedUntil is the time until which plans already sent use up the child's part of the
+	// budget.
+	budgetUsedUntil time.Time
 }
 
-func newNeighbors() *neighbors { return &neighbors{below: map[string]neighbor{}, heard: newSignal()} }
+func newSubtree() *subtree { return &subtree{children: map[string]child{}, reported: newSignal()} }
 
-// met takes in what a host below has told.
-func (n *neighbors) met(now time.Time, args *ExchangeArgs) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	b := n.below[args.Host]
-	if args.First || b.inProgress.Engines == nil {
-		b.inProgress.Engines = map[uint32]int{}
+// record stores a child's report.
+func (t *subtree) record(now time.Time, args *ExchangeArgs) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := t.children[args.Host]
+	if args.First || c.inProgress.Engines == nil {
+		c.inProgress.Engines = map[uint32]int{}
 	}
 	args.Engines.each(func(engine uint32, requests int) {
-		b.inProgress.Engines[engine] = requests
+		c.inProgress.Engines[engine] = requests
 		if requests == 0 {
-			delete(b.inProgress.Engines, engine)
+			delete(c.inProgress.Engines, engine)
 		}
 	})
-	b.inProgress.Prompts = map[uint32]int{}
-	args.Prompts.each(func(prompt uint32, requests int) { b.inProgress.Prompts[prompt] = requests })
-	b.at, b.scores, b.steps = now, args.Scores.unpack(), min(max(args.Steps, 0), mostSteps)
-	n.below[args.Host] = b
-	n.heard.raise()
+	c.inProgress.Prompts = map[uint32]int{}
+	args.Prompts.each(func(prompt uint32, requests int) { c.inProgress.Prompts[prompt] = requests })
+	c.lastCall, c.scores, c.depth = now, args.Scores.decode(), min(max(args.Steps, 0), maxDepth)
+	t.children[args.Host] = c
+	t.reported.raise()
 }
 
-// allMet reports whether all hosts below have told something since a moment.
-func (n *neighbors) allMet(since time.Time) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, b := range n.present(since) {
-		if b.at.Before(since) {
+// allReportedSince reports whether all active children have reported since the given time.
+func (t *subtree) allReportedSince(since time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.activeChildren(since) {
+		if c.lastCall.Before(since) {
 			return false
 		}
 	}
 	return true
 }
 
-// steps returns how many steps there are below this host, as far as hosts were heard of of late.
-func (n *neighbors) steps(now time.Time) int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	steps := 0
-	for _, b := range n.present(now) {
-		steps = max(steps, b.steps+1)
+// depth returns the number of levels below this host, counting active children only.
+func (t *subtree) depth(now time.Time) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	depth := 0
+	for _, c := range t.activeChildren(now) {
+		depth = max(depth, c.depth+1)
 	}
-	return steps
+	return depth
 }
 
-// mayTell reports whether a host below may be told a plan by what this host may spend on that.
-func (n *neighbors) mayTell(now time.Time, host string) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return !n.below[host].paidUntil.After(now.Add(planCredit))
+// hasPlanBudget reports whether the budget allows sending a plan to a child now.
+func (t *subtree) hasPlanBudget(now time.Time, host string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return !t.children[host].budgetUsedUntil.After(now.Add(planBurstWindow))
 }
 
-// told takes in that a host below was told a plan of so many bytes.
-func (n *neighbors) told(now time.Time, host string, bytes int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	b := n.below[host]
-	if b.paidUntil.Before(now) {
-		b.paidUntil = now
+// chargePlan charges a plan of the given size sent to a child to the budget.
+func (t *subtree) chargePlan(now time.Time, host string, bytes int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := t.children[host]
+	if c.budgetUsedUntil.Before(now) {
+		c.budgetUsedUntil = now
 	}
-	// Only readers have more than fanOut, who get many times as much from the store.
-	followers := min(len(n.below), fanOut)
-	b.paidUntil = b.paidUntil.Add(time.Duration(bytes*followers) * time.Second / planBudget)
-	n.below[host] = b
+	// Only readers have more than fanOut followers, and they receive many times as much from the
+	// store.
+	followers := min(len(t.children), fanOut)
+	c.budgetUsedUntil = c.budgetUsedUntil.Add(time.Duration(bytes*followers) * time.Second / planBytesPerSecond)
+	t.children[host] = c
 }
 
-// sum returns this host's own scores and those of the hosts below except one, added up.
-func (n *neighbors) sum(now time.Time, own map[uint32]float64, except string) map[uint32]float64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// sumScores returns the sum of this host's own scores and those of all active children except one.
+func (t *subtree) sumScores(now time.Time, own map[uint32]float64, except string) map[uint32]float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	sum := map[uint32]float64{}
 	maps.Copy(sum, own)
-	for host, b := range n.present(now) {
+	for host, c := range t.activeChildren(now) {
 		if host == except {
 			continue
 		}
-		for upstream, score := range b.scores {
+		for upstream, score := range c.scores {
 			sum[upstream] += score
 		}
 	}
 	return sum
 }
 
-// sumInProgress returns what is in progress at this host and the hosts below except one, added up.
-func (n *neighbors) sumInProgress(now time.Time, own placement.InProgress, except string) placement.InProgress {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// sumInProgress returns the sum of the requests in progress at this host and at all active children
+// except one.
+func (t *subtree) sumInProgress(now time.Time, own placement.InProgress, except string) placement.InProgress {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	sum := placement.InProgress{Engines: map[uint32]int{}, Prompts: map[uint32]int{}}
-	add(sum, own)
-	for host, b := range n.present(now) {
+	addInProgress(sum, own)
+	for host, c := range t.activeChildren(now) {
 		if host != except {
-			add(sum, b.inProgress)
+			addInProgress(sum, c.inProgress)
 		}
 	}
 	return sum
 }
 
-// setRegion takes in the scores of all hosts of the region.
-func (n *neighbors) setRegion(now time.Time, scores map[uint32]float64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.region, n.regionAt = scores, now
+// setRegionScores sets the failure scores of all hosts of the region.
+func (t *subtree) setRegionScores(now time.Time, scores map[uint32]float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.regionScores, t.regionScoresAt = scores, now
 }
 
-// all returns the scores of all hosts of the region; none if they are not told any more.
-func (n *neighbors) all(now time.Time) map[uint32]float64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if now.Sub(n.regionAt) > neighborLifetime {
+// scores returns the failure scores of all hosts of the region, or nil if they have expired.
+func (t *subtree) scores(now time.Time) map[uint32]float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if now.Sub(t.regionScoresAt) > childStateTTL {
 		return nil
 	}
-	return n.region
+	return t.regionScores
 }
 
-// present returns the hosts that are below, and forgets those that were not heard of for long;
-// the lock must be held.
-func (n *neighbors) present(now time.Time) iter.Seq2[string, neighbor] {
-	maps.DeleteFunc(n.below, func(_ string, b neighbor) bool { return now.Sub(b.at) > 2*neighborLifetime })
-	return func(yield func(string, neighbor) bool) {
-		for host, b := range n.below {
-			if now.Sub(b.at) <= presentFor && !yield(host, b) {
+// activeChildren returns the children that have called within childTimeout, and forgets those that
+// have been silent for long. The lock must be held.
+func (t *subtree) activeChildren(now time.Time) iter.Seq2[string, child] {
+	maps.DeleteFunc(t.children, func(_ string, c child) bool { return now.Sub(c.lastCall) > 2*childStateTTL })
+	return func(yield func(string, child) bool) {
+		for host, c := range t.children {
+			if now.Sub(c.lastCall) <= childTimeout && !yield(host, c) {
 				return
 			}
 		}
 	}
 }
 
-// left takes in that a host tells another one from now on.
-func (n *neighbors) left(host string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	delete(n.below, host)
+// remove drops a host that reports to another parent from now on.
+func (t *subtree) remove(host string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.children, host)
 }
 
-// exchangeAll draws plans while this host is the region's first one, and exchanges with that
-// one while this host reads the store as well and follows none; until the context ends.
-func (s *Source) exchangeAll(ctx context.Context) {
+// runExchange computes plans while this host is the root of the region, and exchanges with the root
+// while this host is the other reader, which follows no host. It runs until the context ends.
+func (s *Source) runExchange(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
-		first, other := s.directory.LoadParent(now)
+		root, hasParent := s.directory.ExchangeParent(now)
 		switch {
-		case !other:
-			s.gather(now)
-			s.gatherBelow(ctx, now)
+		case !hasParent:
+			s.computePlan(now)
+			s.awaitChildren(ctx, now)
 			if s.options.Plans.Rising(s.inProgress(time.Now())) {
-				s.gather(time.Now())
+				s.computePlan(time.Now())
 			}
-			pause.For(ctx, planEvery-time.Since(now))
+			pause.For(ctx, planInterval-time.Since(now))
 		case s.following.Load() == nil:
-			s.exchange(ctx, first)
+			s.exchangeWith(ctx, root)
 		default:
-			pause.For(ctx, planEvery)
+			pause.For(ctx, planInterval)
 		}
 	}
 }
 
-// tell returns what this host and those below it tell the host above.
-func (s *Source) tell(now time.Time, parent Peer) ExchangeArgs {
-	s.telling.Lock()
-	defer s.telling.Unlock()
-	if parent.Name != s.toldTo || now.Sub(s.toldAt) > neighborLifetime {
-		// It knows nothing, or no longer.
-		s.toldTo, s.told = parent.Name, account{}
+// exchangeArgs returns the report of this host and its children to its parent, and records what it
+// contains as reported.
+func (s *Source) exchangeArgs(now time.Time, parent Peer) ExchangeArgs {
+	s.reportMu.Lock()
+	defer s.reportMu.Unlock()
+	if parent.Name != s.reportedTo || now.Sub(s.reportedAt) > childStateTTL {
+		// The parent has no state of this host, or it has expired.
+		s.reportedTo, s.reported = parent.Name, reportedCounts{}
 	}
-	s.setCountedBy(parent)
-	// What the host above has told itself, while each takes the other for the one above, would
-	// come back to it, and be added again with each call.
-	sum := s.neighbors.sumInProgress(now, s.options.Plans.InProgress(), parent.Name)
-	if _, ok := s.directory.LoadParent(now); !ok {
-		// All comes together here. What went on would come back, and be added again.
+	s.setCountingParent(parent)
+	// The parent's own report is excluded: while two hosts each take the other for their parent it
+	// would come back to the parent and be added again with each call.
+	sum := s.subtree.sumInProgress(now, s.options.Plans.InProgress(), parent.Name)
+	if _, hasParent := s.directory.ExchangeParent(now); !hasParent {
+		// The root's requests would come back to it from the host it reports to and be added again.
 		sum = placement.InProgress{}
 	}
 	args := ExchangeArgs{
 		Host:    s.options.Name,
-		First:   len(s.told) == 0,
-		Engines: packCounts(sum.Engines, s.told.changed(sum.Engines)),
-		Prompts: packCounts(sum.Prompts, most(sum.Prompts, mostPromptsTold)),
-		Scores:  packScores(s.neighbors.sum(now, s.beliefs.Scores(), parent.Name)),
-		PlanAge: neverListed,
-		Steps:   s.neighbors.steps(now),
+		First:   len(s.reported) == 0,
+		Engines: encodeCounts(sum.Engines, s.reported.takeChanged(sum.Engines)),
+		Prompts: encodeCounts(sum.Prompts, topCounts(sum.Prompts, maxReportedPrompts)),
+		Scores:  encodeScores(s.subtree.sumScores(now, s.state.Scores(), parent.Name)),
+		PlanAge: unknownAge,
+		Steps:   s.subtree.depth(now),
 	}
-	if plan, drawn := s.options.Plans.Plan(now); plan != nil {
-		args.PlanAge = now.Sub(drawn)
+	if plan, computedAt := s.options.Plans.Plan(now); plan != nil {
+		args.PlanAge = now.Sub(computedAt)
 	}
-	s.toldAt = now
+	s.reportedAt = now
 	return args
 }
 
-// setCountedBy takes in which host counts the requests that this one tells of, and has the one that did so
-// before count them no longer; telling must be locked. Ranks change whenever a host comes or goes, and
-// with them whom the others follow; requests would else be counted at both hosts for presentFor.
-func (s *Source) setCountedBy(parent Peer) {
-	before := s.countedBy
-	s.countedBy = parent
-	if before.Name == "" || before.Name == parent.Name {
+// setCountingParent sets the host that counts the requests reported by this host, and tells the
+// previous one to stop counting them. Parents change whenever a host joins or leaves; without this,
+// requests would be counted at both hosts for childTimeout. reportMu must be held.
+func (s *Source) setCountingParent(parent Peer) {
+	previous := s.countingParent
+	s.countingParent = parent
+	if previous.Name == "" || previous.Name == parent.Name {
 		return
 	}
-	go s.unfollow(before)
+	go s.detachFrom(previous)
 }
 
-// unfollow has a host no longer count what this one told it.
-func (s *Source) unfollow(of Peer) {
+// detachFrom tells a previous parent to stop counting this host's reports.
+func (s *Source) detachFrom(previous Peer) {
 	ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 	defer cancel()
-	// The client that followed it may be closed by now.
-	client := s.newClient(of.Secret)
+	// The client that was used to follow the host may be closed by now.
+	client := s.newClient(previous.Secret)
 	defer client.Close()
 	var reply ExchangeReply
-	if err := client.Call(ctx, of.Address, exchangeCall, &ExchangeArgs{Host: s.options.Name, Leaves: true}, &reply); err != nil {
-		logrus.WithError(err).WithField("peer", of.Name).Debug("fleet: A host that was followed was not told of that.")
+	if err := client.Call(ctx, previous.Address, exchangeCall, &ExchangeArgs{Host: s.options.Name, Leaves: true}, &reply); err != nil {
+		logrus.WithError(err).WithField("peer", previous.Name).Debug("fleet: A host that was followed was not told of that.")
 	}
 }
 
-// notTold takes in that it is not known whether the host above was told.
-func (s *Source) notTold() {
-	s.telling.Lock()
-	defer s.telling.Unlock()
-	s.toldTo = ""
+// forgetReported discards the record of what was reported, so that the next report is complete.
+func (s *Source) forgetReported() {
+	s.reportMu.Lock()
+	defer s.reportMu.Unlock()
+	s.reportedTo = ""
 }
 
-// gather takes in, as the region's first host, what all hosts have told, and draws a plan.
-func (s *Source) gather(now time.Time) {
-	own := s.beliefs.Scores()
-	s.neighbors.setRegion(now, s.neighbors.sum(now, own, ""))
-	s.beliefs.TakeScores(without(s.neighbors.all(now), own))
+// computePlan applies, at the root of the region, the reports of all hosts and computes a plan.
+func (s *Source) computePlan(now time.Time) {
+	own := s.state.Scores()
+	s.subtree.setRegionScores(now, s.subtree.sumScores(now, own, ""))
+	s.state.TakeScores(subtract(s.subtree.scores(now), own))
 	s.options.Plans.Draw(now, s.inProgress(now))
-	s.tellOfPlan(now)
-	s.planned.raise()
+	s.logPlan(now)
+	s.planUpdated.raise()
 }
 
-// tellOfPlan writes what the plan in force says to the log, twice a second at one host of a region.
-func (s *Source) tellOfPlan(now time.Time) {
+// logPlan logs a summary of the current plan, twice a second at one host per region.
+func (s *Source) logPlan(now time.Time) {
 	plan, _ := s.options.Plans.Plan(now)
 	if plan == nil {
 		return
 	}
-	sum := plan.Summary()
+	summary := plan.Summary()
 	logrus.WithFields(logrus.Fields{
-		"named": sum.Named, "limited": sum.Limited, "most": sum.Most, "prompts": sum.Prompts, "bytes": plan.Size(),
+		"named": summary.Named, "limited": summary.Limited, "most": summary.Most, "prompts": summary.Prompts, "bytes": plan.Size(),
 	}).Info("fleet: A plan was drawn.")
 }
 
-// inProgress returns what is in progress at this host and those below.
+// inProgress returns the requests in progress at this host and its children.
 func (s *Source) inProgress(now time.Time) placement.InProgress {
-	return s.neighbors.sumInProgress(now, s.options.Plans.InProgress(), "")
+	return s.subtree.sumInProgress(now, s.options.Plans.InProgress(), "")
 }
 
-// answer returns what a host below does not know yet that called at a moment.
-func (s *Source) answer(now, called time.Time, args *ExchangeArgs) ExchangeReply {
-	reply := ExchangeReply{Scores: packScores(s.neighbors.all(now))}
-	if s.hasPlanFor(now, called, args) {
-		plan, drawn := s.options.Plans.Plan(now)
-		reply.Plan, reply.PlanAge = plan, now.Sub(drawn)
-		s.neighbors.told(now, args.Host, plan.Size())
+// exchangeReply returns what a child that called at the given time does not have yet.
+func (s *Source) exchangeReply(now, calledAt time.Time, args *ExchangeArgs) ExchangeReply {
+	reply := ExchangeReply{Scores: encodeScores(s.subtree.scores(now))}
+	if s.hasPlanFor(now, calledAt, args) {
+		plan, computedAt := s.options.Plans.Plan(now)
+		reply.Plan, reply.PlanAge = plan, now.Sub(computedAt)
+		s.subtree.chargePlan(now, args.Host, plan.Size())
 	}
 	return reply
 }
 
-// hasPlanFor reports whether this host knows a newer plan than a host below did when it called
-// at a moment, and may tell it now.
-func (s *Source) hasPlanFor(now, called time.Time, args *ExchangeArgs) bool {
-	plan, drawn := s.options.Plans.Plan(now)
-	return plan != nil && drawn.Sub(called.Add(-args.PlanAge)) > planStep && s.neighbors.mayTell(now, args.Host)
+// hasPlanFor reports whether this host has a newer plan than a child had when it called at the
+// given time, and the budget to send it.
+func (s *Source) hasPlanFor(now, calledAt time.Time, args *ExchangeArgs) bool {
+	plan, computedAt := s.options.Plans.Plan(now)
+	return plan != nil && computedAt.Sub(calledAt.Add(-args.PlanAge)) > planAgeTolerance && s.subtree.hasPlanBudget(now, args.Host)
 }
 
-// learn takes in what the host above has told.
-func (s *Source) learn(now time.Time, reply *ExchangeReply) {
-	own := s.beliefs.Scores()
-	s.neighbors.setRegion(now, reply.Scores.unpack())
-	s.beliefs.TakeScores(without(s.neighbors.all(now), own))
+// applyExchange applies a reply of the parent.
+func (s *Source) applyExchange(now time.Time, reply *ExchangeReply) {
+	own := s.state.Scores()
+	s.subtree.setRegionScores(now, reply.Scores.decode())
+	s.state.TakeScores(subtract(s.subtree.scores(now), own))
 	if reply.Plan != nil {
 		s.options.Plans.Take(reply.Plan, now.Add(-reply.PlanAge))
 	}
 }
 
-// without returns the scores of all hosts less this one's own.
-func without(all, own map[uint32]float64) map[uint32]float64 {
+// subtract returns the scores of all hosts less this host's own.
+func subtract(all, own map[uint32]float64) map[uint32]float64 {
 	others := map[uint32]float64{}
 	for upstream, score := range all {
 		others[upstream] = max(score-own[upstream], 0)
@@ -376,39 +382,40 @@
 	return others
 }
 
-// exchange makes one exchange with the region's first host, which answers when it has drawn
-// a plan. Without an answer this host goes on by what it knows, which fades.
-func (s *Source) exchange(ctx context.Context, first Peer) {
-	s.gatherBelow(ctx, s.plannedAt)
-	calling, cancel := context.WithTimeout(ctx, followWait+exchangeTimeout)
+// exchangeWith makes one exchange with the root of the region, which answers when it has computed a
+// plan. Without an answer this host continues with what it has, which expires.
+func (s *Source) exchangeWith(ctx context.Context, root Peer) {
+	s.awaitChildren(ctx, s.planUpdatedAt)
+	callCtx, cancel := context.WithTimeout(ctx, followPollWait+exchangeTimeout)
 	defer cancel()
-	args := s.tell(time.Now(), first)
+	args := s.exchangeArgs(time.Now(), root)
 	var reply ExchangeReply
-	if err := s.client(first).Call(calling, first.Address, exchangeCall, &args, &reply); err != nil {
-		s.notTold()
+	if err := s.clientFor(root).Call(callCtx, root.Address, exchangeCall, &args, &reply); err != nil {
+		s.forgetReported()
 		if ctx.Err() == nil {
-			s.suspect(ctx, first, err)
+			s.suspect(ctx, root, err)
 		}
 		pause.For(ctx, exchangeTimeout)
 		return
 	}
-	s.learn(time.Now(), &reply)
-	s.plannedAt = time.Now()
-	s.planned.raise()
+	s.applyExchange(time.Now(), &reply)
+	s.planUpdatedAt = time.Now()
+	s.planUpdated.raise()
 }
 
-// gatherBelow waits until the hosts below have called since a moment, for a while at most.
-func (s *Source) gatherBelow(ctx context.Context, since time.Time) {
-	steps := s.neighbors.steps(since)
-	timer := time.NewTimer(time.Duration(steps) * gatherStep)
+// awaitChildren waits until all active children have reported since the given time, up to a timeout
+// that grows with the depth of the subtree.
+func (s *Source) awaitChildren(ctx context.Context, since time.Time) {
+	depth := s.subtree.depth(since)
+	timer := time.NewTimer(time.Duration(depth) * gatherTimeoutPerLevel)
 	defer timer.Stop()
 	for {
-		met := s.neighbors.heard.raised()
-		if s.neighbors.allMet(since) {
+		reported := s.subtree.reported.raised()
+		if s.subtree.allReportedSince(since) {
 			return
 		}
 		select {
-		case <-met:
+		case <-reported:
 		case <-timer.C:
 			return
 		case <-ctx.Done():
--- a/jackdawd/internal/fleet/follow.go
+++ b/jackdawd/internal/fleet/follow.go
@@ -10,39 +10,40 @@
 	"jackdawhinge/jackdawd/internal/membership"
 )
 
-// Configurations returns the source as one of configurations.
+// Configurations returns the source as a source of configurations.
 func (s *Source) Configurations() membership.Configurations { return configurations{s} }
 
 type configurations struct{ *Source }
 
-// Next asks the host above if there is one, else the store; the store at once if others have told nothing in time.
+// Next asks the parent if there is one, otherwise the store. It reads the store at once if other
+// hosts have not sent a configuration in time.
 func (c configurations) Next(ctx context.Context, wait time.Duration) (*traffic.Configuration, time.Duration, error) {
 	if c.version == 0 && !c.options.FirstStart {
-		if next, err := c.first(ctx); err == nil && next != nil {
+		if next, err := c.readInitial(ctx); err == nil && next != nil {
 			return next, 0, nil
 		}
 	}
 	if err := c.await(ctx, c.joined); err != nil {
 		return nil, 0, err
 	}
-	// What the last call brought has been taken in only now, so that followers that are
-	// answered now hear how old it is; told sooner, each step would add the time between
-	// two answers to the age of what it passes on.
-	c.refreshedAt = time.Now()
+	// The result of the last call has been applied only now. Followers are answered from here on,
+	// so that they receive its age; if they were answered sooner, each level of the tree would add
+	// the interval between two answers to the age it passes on.
+	c.appliedAt = time.Now()
 	c.refreshed.raise()
-	entered := c.options.Uptime()
+	start := c.options.Uptime()
 	for {
-		if c.mustRead() {
+		if c.mustReadStore() {
 			sent := c.options.Uptime()
-			if next, err := c.readInTime(ctx); err == nil {
-				return next, entered - sent, nil
+			if next, err := c.readStoreDirectly(ctx); err == nil {
+				return next, start - sent, nil
 			}
 		}
-		asked := c.options.Uptime()
-		next, behind, left, err := c.followAny(ctx)
+		callStart := c.options.Uptime()
+		next, behind, left, err := c.followAvailable(ctx)
 		switch {
 		case next != nil || err == nil:
-			return next, behind - (asked - entered), nil
+			return next, behind - (callStart - start), nil
 		case ctx.Err() != nil:
 			return nil, 0, ctx.Err()
 		case errors.Is(err, errNoTimeLeft):
@@ -50,14 +51,14 @@
 		}
 		sent := c.options.Uptime()
 		next, err = c.readStore(ctx, wait, left)
-		return next, entered - sent, err
+		return next, start - sent, err
 	}
 }
 
-// first reads the first configuration from the store: all hosts' together are little, and
-// a host that has just started has nothing to serve by until it knows one. When all start
-// for the first time nobody waits for it yet.
-func (c configurations) first(ctx context.Context) (*traffic.Configuration, error) {
+// readInitial reads the first configuration from the store. The reads of all hosts together are a
+// small load, and a host that has just started cannot serve before it has a configuration. It is
+// skipped when the whole system starts for the first time, since nobody waits for it yet.
+func (c configurations) readInitial(ctx context.Context) (*traffic.Configuration, error) {
 	next, err := c.options.Configurations.Next(ctx, 0)
 	if err != nil || next == nil {
 		return nil, err
@@ -70,18 +71,18 @@
 	return next, nil
 }
 
-// readStore reads the configuration from the store; left is set if the host that was
-// followed has just been left. Asking one host after the other could take longer
-// than the bounds allow, so the store is next, at once.
+// readStore reads the configuration from the store; left is set if the parent has just been left.
+// Trying one host after another could exceed the age bounds, so the store is read next, without
+// waiting.
 func (c configurations) readStore(ctx context.Context, wait time.Duration, left bool) (*traffic.Configuration, error) {
 	c.setFollowing(nil)
-	if left && c.beliefs.Age() > c.readerWait() {
+	if left && c.state.Age() > c.readerWait() {
 		wait = 0
 	}
 	next, err := c.readConfiguration(ctx, min(wait, c.readerWait()))
-	if err != nil && (c.ListAge() > c.oldestList() || c.beliefs.Age() > c.oldestConfiguration()) {
-		// Others may be better off.
-		c.directory.TurnAway(time.Now())
+	if err != nil && (c.ListAge() > c.maxListAge() || c.state.Age() > c.maxConfigurationAge()) {
+		// The other reader may still be served by the store.
+		c.directory.MarkRejected(time.Now())
 	}
 	return next, err
 }
@@ -92,60 +93,60 @@
 	if next != nil {
 		c.version = max(c.version, next.Version())
 	}
-	if was := c.storeLost.Swap(err != nil); was && err == nil {
-		c.storeBack.raise()
+	if wasFailing := c.storeFailing.Swap(err != nil); wasFailing && err == nil {
+		c.storeRecovered.raise()
 	}
 	return next, err
 }
 
-// follow makes one call to the host above, which answers at once if its list is older than given.
-func (c configurations) follow(ctx context.Context, parent Peer, oldest time.Duration) (*traffic.Configuration, time.Duration, error) {
-	limit := c.callTime()
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// follow makes one call to the parent, which answers at once if its list of upstreams is older than
+// maxListAge.
+func (c configurations) follow(ctx context.Context, parent Peer, maxListAge time.Duration) (*traffic.Configuration, time.Duration, error) {
+	timeout := c.callTimeout()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	sent := c.options.Uptime()
 	args := FollowArgs{
-		Version: c.version, Position: c.position, Whole: c.whole, Heard: c.parentHeard, Wait: followWait, Oldest: oldest,
+		Version: c.version, Position: c.position, Whole: c.needsFullList, Heard: c.parentListTime, Wait: followPollWait, Oldest: maxListAge,
 	}
-	if c.asked != parent.Name {
-		// Positions and moments are those of one host, and the first answer should come
-		// at once if there is one.
-		c.asked, c.whole = parent.Name, true
-		args.Position, args.Whole, args.Heard = membership.Position{}, true, neverHeard
+	if c.askedHost != parent.Name {
+		// Positions and times are relative to one host, and a new parent should answer at once.
+		c.askedHost, c.needsFullList = parent.Name, true
+		args.Position, args.Whole, args.Heard = membership.Position{}, true, unknownTime
 	}
-	args.Hosts, args.Exchange = c.directory.Until(), c.tell(time.Now(), parent)
+	args.Hosts, args.Exchange = c.directory.Position(), c.exchangeArgs(time.Now(), parent)
 	var reply FollowReply
-	if err := c.client(parent).Call(ctx, parent.Address, followCall, &args, &reply); err != nil {
-		c.notTold()
-		if ctx.Err() != nil && limit < longestCall {
-			// The other host may have held the call for as long as it was asked to.
+	if err := c.clientFor(parent).Call(ctx, parent.Address, followCall, &args, &reply); err != nil {
+		c.forgetReported()
+		if ctx.Err() != nil && timeout < maxCallTimeout {
+			// The parent may just have held the call open as long as it was asked to.
 			return nil, 0, errNoTimeLeft
 		}
 		return nil, 0, err
 	}
-	if reply.Behind > c.oldestConfiguration() || reply.ListBehind > c.oldestList() {
+	if reply.Behind > c.maxConfigurationAge() || reply.ListBehind > c.maxListAge() {
 		return nil, 0, &StaleError{Reader: parent.Name, Behind: max(reply.Behind, reply.ListBehind)}
 	}
-	c.learn(time.Now(), &reply.Exchange)
-	if !reply.HostsUntil.IsZero() && c.directory.Learn(reply.Hosts, reply.HostsWhole, reply.HostsUntil) {
-		c.missed.Store(true)
+	c.applyExchange(time.Now(), &reply.Exchange)
+	if !reply.HostsUntil.IsZero() && c.directory.Merge(reply.Hosts, reply.HostsWhole, reply.HostsUntil) {
+		c.registrationMissing.Store(true)
 	}
 	if args.Hosts.Era != reply.HostsUntil.Era && !reply.HostsUntil.IsZero() {
-		c.restoredOnce()
+		c.notifyRestored()
 	}
-	next, behind, err := c.take(parent, reply, sent+reply.Waited-reply.ListBehind)
+	next, behind, err := c.applyReply(parent, reply, sent+reply.Waited-reply.ListBehind)
 	if err != nil {
-		// What was missed is told again.
-		c.asked = ""
+		// The next call requests everything again.
+		c.askedHost = ""
 	}
 	return next, behind, err
 }
 
-// take takes in the answer of the host above, whose list of upstreams is as old as given.
-func (c configurations) take(parent Peer, reply FollowReply, listed time.Duration) (*traffic.Configuration, time.Duration, error) {
+// applyReply applies the reply of the parent, whose list of upstreams was valid at the given time.
+func (c configurations) applyReply(parent Peer, reply FollowReply, listTime time.Duration) (*traffic.Configuration, time.Duration, error) {
 	var next *traffic.Configuration
 	if len(reply.Document) > 0 {
-		document, err := unpack(reply.Document)
+		document, err := decompress(reply.Document)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -153,67 +154,68 @@
 			return nil, 0, err
 		}
 	}
-	if err := c.pass(parent, reply, listed); err != nil {
+	if err := c.forwardUpstreams(parent, reply, listTime); err != nil {
 		return nil, 0, err
 	}
 	if next != nil {
 		c.version = max(c.version, next.Version())
 	}
-	c.position, c.parentHeard = reply.Position, reply.Heard
-	// News of other kinds goes on at once.
-	c.gathers = reply.Exchange.Plan != nil && next == nil && len(reply.Listed) == 0 && len(reply.Entries) == 0
-	c.directory.Trust(parent.Name)
-	// The store is not away for all.
-	c.ownRead.failed = false
+	c.position, c.parentListTime = reply.Position, reply.Heard
+	// Updates of other kinds are passed on at once.
+	c.lastReplyPlanOnly = reply.Exchange.Plan != nil && next == nil && len(reply.Listed) == 0 && len(reply.Entries) == 0
+	c.directory.ClearSuspect(parent.Name)
+	// The store is reachable for some host.
+	c.lastDirectRead.failed = false
 	return next, reply.Behind - reply.Waited, nil
 }
 
-// pass hands what has changed of the upstreams on. All of them, which is what a host is
-// told first, are passed over while they are older than what is known here; they are
-// asked for again until they are not.
-func (c configurations) pass(parent Peer, reply FollowReply, listed time.Duration) error {
+// forwardUpstreams queues upstream changes for Upstreams.Next. A complete list, which a new
+// follower receives first, is skipped while it is older than this host's own, and requested again
+// until it is not.
+func (c configurations) forwardUpstreams(parent Peer, reply FollowReply, listTime time.Duration) error {
 	change := traffic.UpstreamChange{Entries: reply.Entries}
 	if len(reply.Listed) > 0 {
-		entries, err := unpackUpstreams(reply.Listed)
+		entries, err := decompressUpstreams(reply.Listed)
 		if err != nil {
 			return err
 		}
 		change = traffic.UpstreamChange{Whole: true, Entries: entries}
 	}
 	switch {
-	case change.Whole && c.intake.replace(listed, func() { c.setFollowing(&parent) }):
-		c.whole = false
-	case c.whole:
+	case change.Whole && c.listGuard.tryReplace(listTime, func() { c.setFollowing(&parent) }):
+		c.needsFullList = false
+	case c.needsFullList:
 		return nil
 	}
 	if change.Whole || len(change.Entries) > 0 {
-		c.intake.changed(c.options.Uptime())
+		c.listGuard.recordChange(c.options.Uptime())
 	}
 	select {
-	case c.changes <- told{change: change, heard: listed}:
+	case c.changes <- upstreamUpdate{change: change, asOf: listTime}:
 		return nil
 	default:
-		// Changes are not taken in; without this one the later ones would be wrong.
-		return errBehind
+		// The consumer is not keeping up; dropping this change would make later ones wrong.
+		return errChangesPending
 	}
 }
 
-// told is what the host above told of the upstreams, and the moment up to which that is all.
-type told struct {
+// upstreamUpdate is an upstream change received from the parent, and the time at which the list is
+// valid with it.
+type upstreamUpdate struct {
 	change traffic.UpstreamChange
-	heard  time.Duration
+	asOf   time.Duration
 }
 
-// errBehind says that this host has not taken in what it was told before.
-var errBehind = errors.New("earlier changes are not taken in yet")
+// errChangesPending says that this host has not yet applied earlier changes.
+var errChangesPending = errors.New("earlier upstream changes are not applied yet")
 
-// A StaleError says that the host that is followed has lost the store itself.
+// A StaleError says that the parent answers, but has itself lost the store.
 type StaleError struct {
 	Reader string
 	Behind time.Duration
 }
 
-// Error returns the host and its age.
+// Error returns the host and the age of its data.
 func (e *StaleError) Error() string {
 	return fmt.Sprintf("host %s is %s behind", e.Reader, e.Behind.Round(time.Millisecond))
 }
--- a/jackdawd/internal/fleet/messages.go
+++ b/jackdawd/internal/fleet/messages.go
@@ -13,7 +13,7 @@
 	"jackdawhinge/jackdawd/internal/placement"
 )
 
-// The names of the calls.
+// The names of the RPC methods.
 const (
 	serviceName  = "Fleet"
 	followCall   = serviceName + ".Follow"
@@ -24,121 +24,124 @@
 	casesCall    = serviceName + ".Cases"
 )
 
-// FollowArgs say how far a follower is.
+// FollowArgs describe what a follower has.
 type FollowArgs struct {
-	// Version is the configuration that the follower has; Position how far it has followed the upstreams.
+	// Version is that of the follower's configuration, Position its position in the parent's
+	// upstream changes.
 	Version  int64
 	Position membership.Position
-	// Whole asks for all upstreams, wherever the follower is.
+	// Whole requests the complete list of upstreams, whatever the position.
 	Whole bool
-	// Heard is what the last reply said of when the list of upstreams was heard.
+	// Heard is the value of Heard in the parent's last reply.
 	Heard time.Duration
-	// Wait is how long to wait for something new, and Oldest how old the list of upstreams
-	// may become meanwhile: a host that has lost the store says so as soon as it is older.
+	// Wait is how long to hold the call open for an update. Oldest is the age of the parent's list
+	// of upstreams at which it must answer, so that a parent that loses the store says so at once.
 	Wait   time.Duration
 	Oldest time.Duration
-	// Hosts is up to which position the follower knows the list of hosts.
+	// Hosts is the position up to which the follower knows the host list.
 	Hosts traffic.LogPosition
-	// Exchange is what the follower knows of loads.
+	// Exchange is the follower's load report.
 	Exchange ExchangeArgs
 }
 
-// FollowReply is what a follower has missed.
+// FollowReply contains what the follower does not have yet.
 type FollowReply struct {
-	// Waited is how long the call was held: the answer was given so long after the call was
-	// sent at least. Without it each step down the tree would add the time of waiting to ages.
+	// Waited is how long the call was held open, so that the follower can subtract it from ages.
+	// Otherwise each level of the tree would add its waiting time.
 	Waited time.Duration
-	// Behind is how old the configuration of the host that replies may have been.
+	// Behind is the maximum age of the configuration of the replying host.
 	Behind time.Duration
-	// ListBehind is how old its list of upstreams may have been, Heard the moment up to
-	// which it knew the list, on its own clock.
+	// ListBehind is the maximum age of its list of upstreams, Heard the time at which the list was
+	// valid, on its own clock.
 	ListBehind time.Duration
 	Heard      time.Duration
-	// Document is the configuration, packed; empty if the follower has it.
+	// Document is the compressed configuration, empty if the follower has it.
 	Document []byte
 	Position membership.Position
-	// Listed are all upstreams, packed, if the follower has missed too much; Entries what has changed else.
+	// Listed is the complete list of upstreams, compressed, if the follower's position is too old;
+	// otherwise Entries are the changes since.
 	Listed  []byte
 	Entries []traffic.UpstreamEntry
-	// Hosts are what has changed of the list of hosts up to a position, or all of them if
-	// HostsWhole is set.
+	// Hosts are the changes of the host list up to HostsUntil, or the complete list if HostsWhole
+	// is set.
 	Hosts      []HostEntry
 	HostsWhole bool
 	HostsUntil traffic.LogPosition
-	// Exchange is what is known of loads here.
+	// Exchange is the load information for the follower.
 	Exchange ExchangeReply
 }
 
-// AgeArgs ask a host how old its knowledge is.
+// AgeArgs request the age of a host's data.
 type AgeArgs struct{}
 
-// AgeReply is how old the configuration and the list of upstreams may be that a host knows.
+// AgeReply holds the maximum ages of a host's configuration and list of upstreams.
 type AgeReply struct {
 	Configuration time.Duration
 	List          time.Duration
 }
 
-// ExchangeArgs are what a host and those below it know of loads.
+// ExchangeArgs are the load report of a host, including its children.
 type ExchangeArgs struct {
 	Host string
-	// Leaves is set if the host tells another one from now on; nothing else is set then.
+	// Leaves is set if the host reports to another parent from now on. No other field but Host is
+	// set then.
 	Leaves bool
-	// Engines are the requests in progress at engines, of the host and those below it, where
-	// they have changed since the last call; First is set if nothing was told before.
+	// Engines are the requests in progress per engine where they have changed since the last call;
+	// First is set if this is the first report, which has all of them.
 	Engines Counts
 	First   bool
-	// Prompts are those with the prompts that most have.
+	// Prompts are the requests in progress for the prompts with the most requests.
 	Prompts Counts
-	// Scores are what speaks against upstreams at the host and those below it, added up.
+	// Scores are the summed failure scores of upstreams at the host and its children.
 	Scores Scores
-	// PlanAge is how old the plan is that the host has; longer than any plan if it has none.
+	// PlanAge is the age of the host's plan, or unknownAge if it has none.
 	PlanAge time.Duration
-	// Steps is how many steps there are below the host.
+	// Steps is the number of levels below the host.
 	Steps int
 }
 
-// ExchangeReply is what the hosts above know.
+// ExchangeReply is what the parent passes down.
 type ExchangeReply struct {
-	// Scores are what speaks against upstreams at all hosts of the region, added up.
+	// Scores are the summed failure scores of upstreams at all hosts of the region.
 	Scores Scores
-	// Plan is how prompts are spread over engines, nil if there is none that the host has not
-	// been told, and PlanAge how long ago it was drawn.
+	// Plan spreads prompts over engines; it is nil if there is none that the host does not have.
+	// PlanAge is the time since it was computed.
 	Plan    *placement.Plan
 	PlanAge time.Duration
 }
 
-// Scores are what speaks against upstreams, packed: for each four bytes of the upstream's
-// hash and one of the score.
+// Scores are failure scores of upstreams in wire format: a 4-byte hash and a 1-byte score each.
 type Scores []byte
 
 const (
-	scoreBytes = 5
-	mostByte   = math.MaxUint8
-	// scoreUnit is the unit of scores: evidence comes in tenths.
+	scoreSize    = 5
+	maxScoreByte = math.MaxUint8
+	// scoreUnit is the resolution of scores, which are multiples of a tenth.
 	scoreUnit = 0.1
-	// mostScores bounds the upstreams of one message; a fleet in which more fail has other troubles.
-	mostScores = 16
+	// maxReportedScores bounds the upstreams of one message. If more upstreams fail, their scores
+	// are not the main problem.
+	maxReportedScores = 16
 )
 
-// packScores packs scores, the highest ones if there are too many.
-func packScores(scores map[uint32]float64) Scores {
+// encodeScores encodes scores, the highest ones if there are too many.
+func encodeScores(scores map[uint32]float64) Scores {
 	upstreams := slices.SortedFunc(maps.Keys(scores), func(a, b uint32) int {
 		return cmp.Or(cmp.Compare(scores[b], scores[a]), cmp.Compare(a, b))
 	})
 	var out Scores
-	for _, u := range upstreams[:min(len(upstreams), mostScores)] {
+	for _, u := range upstreams[:min(len(upstreams), maxReportedScores)] {
 		out = binary.LittleEndian.AppendUint32(out, u)
-		out = append(out, byte(min(math.Round(scores[u]/scoreUnit), mostByte)))
+		out = append(out, byte(min(math.Round(scores[u]/scoreUnit), maxScoreByte)))
 	}
 	return out
 }
 
-// unpack returns the scores; a cut one at the end is left out.
-func (s Scores) unpack() map[uint32]float64 {
+// decode returns the scores. A truncated one at the end is ignored.
+func (s Scores) decode() map[uint32]float64 {
 	scores := map[uint32]float64{}
-	for len(s) >= scoreBytes {
+	for len(s) >= scoreSize {
 		scores[binary.LittleEndian.Uint32(s)] = float64(s[4]) * scoreUnit
-		s = s[scoreBytes:]
+		s = s[scoreSize:]
 	}
 	return scores
 }
--- a/jackdawd/internal/fleet/newest.go
+++ b/jackdawd/internal/fleet/newest.go
@@ -9,60 +9,62 @@
 	"jackdawhinge/common/traffic"
 )
 
-// newestTimeout is how long a host that starts waits for what others know. Hosts that have just been lost do not answer, and
-// until then this one serves nobody.
+// newestTimeout is how long a starting host waits for the versions of other hosts. Hosts that have
+// just failed do not answer, and until then this host serves nobody.
 const newestTimeout = 300 * time.Millisecond
 
-// NewestArgs say which configuration a host has read that starts.
+// NewestArgs hold the version that a starting host has read from the store.
 type NewestArgs struct {
 	Version int64
 }
 
-// NewestReply is a newer configuration, empty if the other host knows none.
+// NewestReply holds a newer configuration, compressed, or nothing if there is none.
 type NewestReply struct {
 	Document []byte
 }
 
-// Newest returns the configuration that is in force here if it is newer than the one given.
+// Newest returns this host's configuration if it is newer than the given version.
 func (s *service) Newest(args *NewestArgs, reply *NewestReply) error {
-	conf := s.beliefs.Changes().Configuration()
+	conf := s.state.Changes().Configuration()
 	if conf == nil || conf.Version() <= args.Version {
 		return nil
 	}
 	var err error
-	reply.Document, err = s.documents.pack(conf.Version(), func() ([]byte, error) { return conf.Document(), nil })
+	reply.Document, err = s.documents.compress(conf.Version(), func() ([]byte, error) { return conf.Document(), nil })
 	return err
 }
 
-// preferNewest returns the newest of a configuration and those that other hosts know. A host that starts asks one of each
-// failure domain: the store may have come back from an older copy, which says nothing of that.
+// preferNewest returns the newest of the given configuration and those of one other host per
+// failure domain. The store may have been restored from an older backup, which cannot be seen from
+// the configuration it returns.
 func (c configurations) preferNewest(ctx context.Context, newest *traffic.Configuration) *traffic.Configuration {
 	ctx, cancel := context.WithTimeout(ctx, newestTimeout)
 	defer cancel()
-	others := c.directory.OneOfEach(time.Now())
-	answers, read := make(chan *traffic.Configuration, len(others)), newest.Version()
+	others := c.directory.OnePerDomain(time.Now())
+	answers, readVersion := make(chan *traffic.Configuration, len(others)), newest.Version()
 	for _, other := range others {
 		go func() {
-			known, err := c.askNewest(ctx, other, read)
+			newer, err := c.fetchNewest(ctx, other, readVersion)
 			if err != nil {
 				logrus.WithError(err).WithField("peer", other.Name).Info("fleet: A host does not tell which configuration it knows.")
 			}
-			answers <- known
+			answers <- newer
 		}()
 	}
 	for range others {
-		if known := <-answers; known != nil && known.Version() > newest.Version() {
-			newest = known
+		if newer := <-answers; newer != nil && newer.Version() > newest.Version() {
+			newest = newer
 		}
 	}
-	if newest.Version() > read {
-		logrus.WithFields(logrus.Fields{"read": read, "version": newest.Version()}).Info("fleet: Other hosts know a newer configuration than the store.")
+	if newest.Version() > readVersion {
+		logrus.WithFields(logrus.Fields{"read": readVersion, "version": newest.Version()}).Info("fleet: Other hosts know a newer configuration than the store.")
 	}
 	return newest
 }
 
-// askNewest returns the configuration that another host knows, or nil if it knows none that is newer than the version given.
-func (c configurations) askNewest(ctx context.Context, other Peer, version int64) (*traffic.Configuration, error) {
+// fetchNewest returns another host's configuration, or nil if it is not newer than the given
+// version.
+func (c configurations) fetchNewest(ctx context.Context, other Peer, version int64) (*traffic.Configuration, error) {
 	client := c.newClient(other.Secret)
 	defer c.closeClient(client)
 	var reply NewestReply
@@ -72,7 +74,7 @@
 	if len(reply.Document) == 0 {
 		return nil, nil
 	}
-	document, err := unpack(reply.Document)
+	document, err := decompress(reply.Document)
 	if err != nil {
 		return nil, err
 	}
--- a/jackdawd/internal/fleet/quarantine.go
+++ b/jackdawd/internal/fleet/quarantine.go
@@ -12,41 +12,44 @@
 )
 
 const (
-	// leastToldUp and leastToldDown are in how many crashes a request must have been for the host above
-	// and the hosts below to be told. The one above adds up what several hosts saw; those
-	// below need what is barred, and what is nearly so: whoever gets an answer to such a request knows
-	// that it is innocent.
-	leastToldUp   = 1
-	leastToldDown = 2
-	// reportPace is how often at most a host tells the one above. The first crash is told at once; when an upstream
-	// ends with all its requests, hosts below tell of them within some milliseconds of each other.
-	reportPace = 250 * time.Millisecond
-	// lookAgain is how often a host looks whether another one is above it, or whether it reads the store.
-	lookAgain = 200 * time.Millisecond
-	// casesWait is how long a call for news of cases is held. News ends it; a host above that falls silent is
-	// found out sooner by the calls for configuration, after which another one is above.
-	casesWait = 4 * time.Second
-	// reportTimeout is how long telling the host above may take.
+	// minReportedCrashes and minSharedCrashes are the numbers of crashes from which on a request is
+	// reported to the parent and shared with the children. The parent adds up what several hosts
+	// saw. Children need the quarantined requests and those one crash short of it, since a host
+	// that gets an answer to such a request can clear it.
+	minReportedCrashes = 1
+	minSharedCrashes   = 2
+	// minReportInterval is the minimum interval between reports to the parent. The first crash is
+	// reported at once; when an upstream crashes with all its requests, children report them within
+	// milliseconds of each other.
+	minReportInterval = 250 * time.Millisecond
+	// roleCheckInterval is how often a host checks whether its parent has changed or whether it is
+	// a reader.
+	roleCheckInterval = 200 * time.Millisecond
+	// recordsPollWait is how long a call for records is held open for an update. A parent that
+	// stops answering is detected sooner by the calls for the configuration, after which there is
+	// another parent.
+	recordsPollWait = 4 * time.Second
+	// reportTimeout is the timeout of a report to the parent.
 	reportTimeout = 300 * time.Millisecond
 )
 
-// Quarantine holds the requests under which upstreams have ended.
+// Quarantine holds the requests that crashed upstreams.
 type Quarantine interface {
-	// Merge takes in what other hosts know.
+	// Merge adds the records of other hosts.
 	Merge(now time.Time, records []quarantine.Record)
-	// Since returns the cases with so many crashes at least that changed after a position, and the
-	// position that they lead to; News reports whether there are any.
-	Since(now time.Time, p quarantine.Position, least int) ([]quarantine.Record, quarantine.Position)
-	News(p quarantine.Position, least int) bool
-	// Answered takes in that a request is innocent.
+	// Since returns the records with at least the given number of crashes that changed after a
+	// position, and the position after them; News reports whether there are any.
+	Since(now time.Time, p quarantine.Position, minCrashes int) ([]quarantine.Record, quarantine.Position)
+	News(p quarantine.Position, minCrashes int) bool
+	// Answered records that a request was answered and so does not crash upstreams.
 	Answered(now time.Time, f quarantine.Fingerprint)
-	// AllBarred returns the requests that are kept from upstreams.
+	// AllBarred returns the quarantined requests.
 	AllBarred(now time.Time) []quarantine.Record
-	// Changed is closed when there is news.
+	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
 }
 
-// ReportArgs are the requests under which upstreams have ended, as a host and those below it saw.
+// ReportArgs hold the requests that crashed upstreams as seen by a host and its children.
 type ReportArgs struct {
 	Cases []quarantine.Record
 }
@@ -54,33 +57,33 @@
 // ReportReply is empty.
 type ReportReply struct{}
 
-// CasesArgs say how far a host below knows the requests under which upstreams have ended.
+// CasesArgs hold the position up to which a child has the parent's records.
 type CasesArgs struct {
 	Known quarantine.Position
-	// Wait is how long to wait for news.
+	// Wait is how long to hold the call open for an update.
 	Wait time.Duration
 }
 
-// CasesReply are the cases that it does not know, up to a position.
+// CasesReply holds the records after that position, and the position Until which they are complete.
 type CasesReply struct {
 	Cases []quarantine.Record
 	Until quarantine.Position
 }
 
-// Report takes in what a host below has seen.
+// Report merges the records of a child.
 func (s *service) Report(args *ReportArgs, _ *ReportReply) error {
 	s.source.options.Quarantine.Merge(time.Now(), args.Cases)
 	return nil
 }
 
-// Cases returns what a host below does not know; it waits if there is nothing.
+// Cases returns the records that a child does not have yet, and waits if there are none.
 func (s *service) Cases(args *CasesArgs, reply *CasesReply) error {
-	held := s.source.options.Quarantine
-	timer := time.NewTimer(min(args.Wait, casesWait))
+	registry := s.source.options.Quarantine
+	timer := time.NewTimer(min(args.Wait, recordsPollWait))
 	defer timer.Stop()
 	for waiting := true; waiting; {
-		changed := held.Changed()
-		if held.News(args.Known, leastToldDown) {
+		changed := registry.Changed()
+		if registry.News(args.Known, minSharedCrashes) {
 			break
 		}
 		select {
@@ -89,133 +92,134 @@
 			waiting = false
 		}
 	}
-	reply.Cases, reply.Until = held.Since(time.Now(), args.Known, leastToldDown)
+	reply.Cases, reply.Until = registry.Since(time.Now(), args.Known, minSharedCrashes)
 	return nil
 }
 
-// reportCases tells the host above of requests under which upstreams have ended, until the context
-// ends. It does so in calls of its own: held back until the next call to the host above, crashes seen by hosts
-// at the tree's end would be added up after seconds, in which the request ends more upstreams.
-func (s *Source) reportCases(ctx context.Context) {
-	toldTo, told := "", quarantine.Position{}
+// reportRecords reports requests that crashed upstreams to the parent until the context ends. It
+// uses separate calls: with the next follow call, crashes seen by leaf hosts would be added up only
+// after seconds, in which the request crashes more upstreams.
+func (s *Source) reportRecords(ctx context.Context) {
+	reportedTo, reportedUntil := "", quarantine.Position{}
 	for ctx.Err() == nil {
 		changed := s.options.Quarantine.Changed()
-		parent, ok := s.directory.LoadParent(time.Now())
-		if parent.Name != toldTo {
-			toldTo, told = parent.Name, quarantine.Position{}
+		parent, hasParent := s.directory.ExchangeParent(time.Now())
+		if parent.Name != reportedTo {
+			reportedTo, reportedUntil = parent.Name, quarantine.Position{}
 		}
-		if ok && s.options.Quarantine.News(told, leastToldUp) {
-			told = s.report(ctx, parent, told)
-			pause.For(ctx, reportPace)
+		if hasParent && s.options.Quarantine.News(reportedUntil, minReportedCrashes) {
+			reportedUntil = s.sendReport(ctx, parent, reportedUntil)
+			pause.For(ctx, minReportInterval)
 		}
-		s.awaitAny(ctx, changed, lookAgain)
+		s.awaitWithTimeout(ctx, changed, roleCheckInterval)
 	}
 }
 
-// report tells the host above what has changed since a position, and returns up to where it knows.
-func (s *Source) report(ctx context.Context, parent Peer, since quarantine.Position) quarantine.Position {
+// sendReport reports the records changed since a position, and returns the position reported up to.
+func (s *Source) sendReport(ctx context.Context, parent Peer, since quarantine.Position) quarantine.Position {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	cases, until := s.options.Quarantine.Since(time.Now(), since, leastToldUp)
+	cases, until := s.options.Quarantine.Since(time.Now(), since, minReportedCrashes)
 	var reply ReportReply
-	if err := s.casesClient(parent).Call(ctx, parent.Address, reportCall, &ReportArgs{Cases: cases}, &reply); err != nil {
-		// The calls that follow the host above show whether it is gone.
+	if err := s.quarantineClientFor(parent).Call(ctx, parent.Address, reportCall, &ReportArgs{Cases: cases}, &reply); err != nil {
+		// The follow calls detect whether the parent is gone.
 		logrus.WithError(err).WithField("peer", parent.Name).Debug("fleet: The host above was not told of crashes. It is told again.")
 		return since
 	}
 	return until
 }
 
-// followCases asks the host above for requests under which upstreams have ended, until the context ends.
-// These calls go on while the host above has lost the store, and answers nothing else.
-func (s *Source) followCases(ctx context.Context) {
-	asked, known, away := "", quarantine.Position{}, false
+// followRecords fetches the parent's records of requests that crashed upstreams until the context
+// ends. It continues while the parent has lost the store and is not followed for anything else.
+func (s *Source) followRecords(ctx context.Context) {
+	askedHost, known, failing := "", quarantine.Position{}, false
 	for ctx.Err() == nil {
-		parent, ok := s.directory.LoadParent(time.Now())
-		if !ok {
-			pause.For(ctx, lookAgain)
+		parent, hasParent := s.directory.ExchangeParent(time.Now())
+		if !hasParent {
+			pause.For(ctx, roleCheckInterval)
 			continue
 		}
-		if parent.Name != asked {
-			asked, known = parent.Name, quarantine.Position{}
+		if parent.Name != askedHost {
+			askedHost, known = parent.Name, quarantine.Position{}
 		}
-		reply, err := s.askForCases(ctx, parent, known)
+		reply, err := s.fetchRecords(ctx, parent, known)
 		if err != nil {
-			if !away && ctx.Err() == nil {
+			if !failing && ctx.Err() == nil {
 				logrus.WithError(err).WithField("peer", parent.Name).Info("fleet: The host above does not tell of crashes. It is asked again.")
 			}
-			away = true
-			pause.For(ctx, lookAgain)
+			failing = true
+			pause.For(ctx, roleCheckInterval)
 			continue
 		}
-		if away {
+		if failing {
 			logrus.WithField("peer", parent.Name).Info("fleet: The host above tells of crashes.")
 		}
-		away = false
+		failing = false
 		s.options.Quarantine.Merge(time.Now(), reply.Cases)
 		known = reply.Until
 	}
 }
 
-// askForCases makes one call to the host above, which ends early if another one is above.
-func (s *Source) askForCases(ctx context.Context, parent Peer, known quarantine.Position) (CasesReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, casesWait+reportTimeout)
+// fetchRecords makes one call to the parent, which is canceled if the parent changes.
+func (s *Source) fetchRecords(ctx context.Context, parent Peer, known quarantine.Position) (CasesReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, recordsPollWait+reportTimeout)
 	defer cancel()
-	defer s.cancelWhenReplaced(ctx, cancel, parent)()
+	defer s.cancelOnParentChange(ctx, cancel, parent)()
 	var reply CasesReply
-	err := s.casesClient(parent).Call(ctx, parent.Address, casesCall, &CasesArgs{Known: known, Wait: casesWait}, &reply)
+	err := s.quarantineClientFor(parent).Call(ctx, parent.Address, casesCall, &CasesArgs{Known: known, Wait: recordsPollWait}, &reply)
 	return reply, err
 }
 
-// casesClient returns the client for calls about requests that end upstreams. It has a connection of its own: a call that
-// is given up ends its connection, and with it calls for the configuration, whose failure makes a host leave the one above.
-func (s *Source) casesClient(p Peer) *peers.Client {
+// quarantineClientFor returns the client for calls about requests that crash upstreams. It has its
+// own connection: canceling a call closes its connection, which would also fail calls for the
+// configuration and make the host leave its parent.
+func (s *Source) quarantineClientFor(peer Peer) *peers.Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cases != nil && s.casesOf == p {
-		return s.cases
+	if s.quarantineClient != nil && s.quarantinePeer == peer {
+		return s.quarantineClient
 	}
-	s.closeCases()
-	s.casesOf, s.cases = p, s.newClient(p.Secret)
-	return s.cases
+	s.closeQuarantineClient()
+	s.quarantinePeer, s.quarantineClient = peer, s.newClient(peer.Secret)
+	return s.quarantineClient
 }
 
-// closeCases closes the client for those calls; the lock must be held.
-func (s *Source) closeCases() {
-	if s.cases == nil {
+// closeQuarantineClient closes that client. The lock must be held.
+func (s *Source) closeQuarantineClient() {
+	if s.quarantineClient == nil {
 		return
 	}
-	s.cases.Close()
-	s.bytes += s.cases.Bytes()
-	s.cases = nil
+	s.quarantineClient.Close()
+	s.closedClientBytes += s.quarantineClient.Bytes()
+	s.quarantineClient = nil
 }
 
-// cancelWhenReplaced cancels a call once another host is above, until the function returned is called.
-func (s *Source) cancelWhenReplaced(ctx context.Context, cancel context.CancelFunc, parent Peer) (stop func()) {
-	ended := make(chan struct{})
+// cancelOnParentChange cancels a call when the parent changes, until stop is called.
+func (s *Source) cancelOnParentChange(ctx context.Context, cancel context.CancelFunc, parent Peer) (stop func()) {
+	stopped := make(chan struct{})
 	go func() {
-		ticker := time.NewTicker(lookAgain)
+		ticker := time.NewTicker(roleCheckInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case now := <-ticker.C:
-				if above, ok := s.directory.LoadParent(now); !ok || above != parent {
+				if current, hasParent := s.directory.ExchangeParent(now); !hasParent || current != parent {
 					cancel()
 					return
 				}
-			case <-ended:
+			case <-stopped:
 				return
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	return func() { close(ended) }
+	return func() { close(stopped) }
 }
 
-// awaitAny waits until a channel is closed, for a while at most.
-func (s *Source) awaitAny(ctx context.Context, changed <-chan struct{}, most time.Duration) {
-	timer := time.NewTimer(most)
+// awaitWithTimeout waits until a channel is closed, the timeout passes or the context ends.
+func (s *Source) awaitWithTimeout(ctx context.Context, changed <-chan struct{}, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
--- /dev/null
+++ b/jackdawd/internal/fleet/quarantine_notices.go
@@ -0,0 +1,231 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"jackdawhinge/common/pause"
+	"jackdawhinge/common/traffic"
+	"jackdawhinge/jackdawd/internal/quarantine"
+)
+
+const (
+	// quarantinePollWait is how long a read of quarantine notices is held open for a change. If one
+	// reader's connection stalls unnoticed, that reader misses other regions' notices for 11 s; the
+	// region's other reader still gets them.
+	quarantinePollWait = 10 * time.Second
+	// minStoreBackoff is the backoff after the first failed store call. It doubles with each
+	// further failure up to maxStoreBackoff and is jittered by up to half, because calls cost
+	// something even while the store is down.
+	minStoreBackoff = 200 * time.Millisecond
+	maxStoreBackoff = 3 * time.Second
+)
+
+// QuarantineBoard stores notices of quarantined requests, for other regions and for hosts that
+// start when all others do too.
+type QuarantineBoard interface {
+	// Put stores the notice of a request, or removes it if notice is nil, and returns the log
+	// position after the write.
+	Put(ctx context.Context, request string, notice []byte) (traffic.LogPosition, error)
+	// Next returns the notices changed since the last call, with nil for a removed one, and the
+	// position they are valid at; whole is set if they are all existing notices. It waits up to
+	// wait for a change.
+	Next(ctx context.Context, wait time.Duration) (notices map[string][]byte, whole bool, until traffic.LogPosition, err error)
+}
+
+// nextStoreBackoff returns the backoff that follows the given one after another failed store call.
+func nextStoreBackoff(previous time.Duration) time.Duration {
+	return min(max(2*previous, minStoreBackoff), maxStoreBackoff)
+}
+
+// knownNotices is this host's knowledge of which quarantine notices are in the store.
+type knownNotices struct {
+	mu sync.Mutex
+	// readUntil is the position up to which the store was read; positions holds, by request, the
+	// position at which the notice was last known to exist.
+	readUntil traffic.LogPosition
+	positions map[string]traffic.LogPosition
+}
+
+// recordPut records a written notice and the position after the write. It reports whether the
+// notice is already known to have been removed since.
+func (k *knownNotices) recordPut(request string, position traffic.LogPosition) (removed bool) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.readUntil.Before(position) {
+		k.positions[request] = position
+		return false
+	}
+	_, known := k.positions[request]
+	return !known && position.Era == k.readUntil.Era
+}
+
+// recordRead records notices read up to a position and returns the requests whose notices were
+// removed. A notice missing because the store was restored from an older backup does not count as
+// removed.
+func (k *knownNotices) recordRead(notices map[string][]byte, whole bool, until traffic.LogPosition) (removed []string) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.readUntil = until
+	for request, position := range k.positions {
+		if _, listed := notices[request]; !whole || listed || until.Before(position) {
+			continue
+		}
+		delete(k.positions, request)
+		if position.Era == until.Era {
+			removed = append(removed, request)
+		}
+	}
+	for request, notice := range notices {
+		if notice == nil {
+			delete(k.positions, request)
+			removed = append(removed, request)
+			continue
+		}
+		k.positions[request] = until
+	}
+	return removed
+}
+
+// clear forgets all notices.
+func (k *knownNotices) clear() {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	clear(k.positions)
+}
+
+func (k *knownNotices) contains(request string) bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	_, known := k.positions[request]
+	return known
+}
+
+// isHealthyReader reports whether this host is one of its region's readers and the store answers
+// it.
+func (s *Source) isHealthyReader() bool {
+	_, hasParent := s.parent()
+	return !hasParent && s.ListAge() <= s.maxListAge()
+}
+
+// followQuarantineNotices applies the notices in the store while this host is a reader, until the
+// context ends. The store is the only channel between regions, and the only copy if all hosts lose
+// their state at once.
+func (s *Source) followQuarantineNotices(ctx context.Context) {
+	if s.await(ctx, s.sourceChosen) != nil {
+		return
+	}
+	backoff := time.Duration(0)
+	for ctx.Err() == nil {
+		if !s.isHealthyReader() {
+			pause.For(ctx, roleCheckInterval)
+			continue
+		}
+		notices, whole, until, err := s.options.QuarantineBoard.Next(ctx, quarantinePollWait)
+		if err != nil {
+			if ctx.Err() == nil {
+				logrus.WithError(err).Info("fleet: The notices of barred requests were not read. They are read again.")
+			}
+			backoff = nextStoreBackoff(backoff)
+			pause.For(ctx, backoff+rand.N(backoff/2))
+			continue
+		}
+		backoff = 0
+		for _, request := range s.knownNotices.recordRead(notices, whole, until) {
+			s.release(time.Now(), request)
+		}
+		s.mergeNotices(ctx, notices)
+	}
+}
+
+// mergeNotices applies notices read from the store and removes expired ones there.
+func (s *Source) mergeNotices(ctx context.Context, notices map[string][]byte) {
+	now := time.Now()
+	var records []quarantine.Record
+	for request, notice := range notices {
+		if notice == nil {
+			continue
+		}
+		r, err := quarantine.DecodeNotice(now, request, notice)
+		switch {
+		case err != nil:
+			logrus.WithError(err).Warn("fleet: A notice of a barred request was skipped.")
+		case r.Expired():
+			s.removeNotice(ctx, request)
+		default:
+			records = append(records, r)
+		}
+	}
+	s.options.Quarantine.Merge(now, records)
+}
+
+// publishQuarantineNotices writes notices of quarantined requests while this host is a reader,
+// until the context ends.
+func (s *Source) publishQuarantineNotices(ctx context.Context) {
+	backoff := time.Duration(0)
+	for ctx.Err() == nil {
+		changed := s.options.Quarantine.Changed()
+		if s.isHealthyReader() && !s.writeMissingNotices(ctx) {
+			backoff = nextStoreBackoff(backoff)
+			pause.For(ctx, backoff+rand.N(backoff/2))
+			continue
+		}
+		backoff = 0
+		s.awaitWithTimeout(ctx, changed, roleCheckInterval)
+	}
+}
+
+// writeMissingNotices writes the notices that are not in the store yet and reports whether all are
+// there now.
+func (s *Source) writeMissingNotices(ctx context.Context) bool {
+	now := time.Now()
+	complete := true
+	for _, r := range s.options.Quarantine.AllBarred(now) {
+		request := r.Request.String()
+		if s.knownNotices.contains(request) {
+			continue
+		}
+		notice, err := json.Marshal(r.Notice(now))
+		if err != nil {
+			// Numbers and times always encode.
+			panic(err)
+		}
+		complete = s.putNotice(ctx, request, notice) && complete
+	}
+	return complete
+}
+
+// release ends the quarantine of a request whose notice was removed, which is how operators end it.
+func (s *Source) release(now time.Time, request string) {
+	f, err := quarantine.ParseFingerprint(request)
+	if err != nil {
+		logrus.WithError(err).Warn("fleet: A notice of a barred request was skipped.")
+		return
+	}
+	s.options.Quarantine.Answered(now, f)
+}
+
+// putNotice writes the notice of a request and reports whether that succeeded.
+func (s *Source) putNotice(ctx context.Context, request string, notice []byte) bool {
+	position, err := s.options.QuarantineBoard.Put(ctx, request, notice)
+	if err != nil {
+		logrus.WithError(err).WithField("fingerprint", request).Info("fleet: The notice of a barred request was not written. It is tried again.")
+		return false
+	}
+	if s.knownNotices.recordPut(request, position) {
+		s.release(time.Now(), request)
+	}
+	return true
+}
+
+// removeNotice removes the notice of a request. Later reads of the store confirm the removal.
+func (s *Source) removeNotice(ctx context.Context, request string) {
+	if _, err := s.options.QuarantineBoard.Put(ctx, request, nil); err != nil {
+		logrus.WithError(err).WithField("fingerprint", request).Info("fleet: The notice of a barred request was not removed.")
+	}
+}
--- a/jackdawd/internal/fleet/search.go
+++ b/jackdawd/internal/fleet/search.go
@@ -11,111 +11,112 @@
 	"jackdawhinge/common/traffic"
 )
 
-// followAny asks the host above, and others in its place where it fails; it returns an error if
-// the store is to be read, with anyLeft set if a host that was followed has just been left.
-func (c configurations) followAny(ctx context.Context) (next *traffic.Configuration, behind time.Duration, anyLeft bool, err error) {
+// followAvailable asks the parent, and other hosts in its place if it fails. It returns an error if
+// the store must be read, with anyLeft set if a parent has just been left.
+func (c configurations) followAvailable(ctx context.Context) (next *traffic.Configuration, behind time.Duration, anyLeft bool, err error) {
 	err = errNoParent
-	left, entered := 0, c.options.Uptime()
-	var away absence
-	for parent, ok := c.parent(); ok && ctx.Err() == nil; parent, ok = c.parent() {
-		if left == 0 && c.mustRead() {
+	leftCount, start := 0, c.options.Uptime()
+	var outage parentOutage
+	for parent, hasParent := c.parent(); hasParent && ctx.Err() == nil; parent, hasParent = c.parent() {
+		if leftCount == 0 && c.mustReadStore() {
 			return nil, 0, false, errNoTimeLeft
 		}
-		patient := c.patient()
-		if c.gathers {
-			c.gathers = false
-			c.gatherBelow(ctx, c.refreshedAt)
+		starting := c.waitsAtStart()
+		if c.lastReplyPlanOnly {
+			c.lastReplyPlanOnly = false
+			c.awaitChildren(ctx, c.appliedAt)
 		}
-		begun, waited := time.Now(), c.options.Uptime()-entered
-		oldest := c.oldestList() + time.Millisecond
-		if away.told {
-			// It need not say that it is still away: it answers when it is back.
-			oldest = neverListed
+		callStart, waited := time.Now(), c.options.Uptime()-start
+		maxListAge := c.maxListAge() + time.Millisecond
+		if outage.logged {
+			// It need not answer until it has the store back.
+			maxListAge = unknownAge
 		}
-		if next, behind, err = c.follow(ctx, parent, oldest); err == nil {
-			// It counts from the beginning, and the time until this call went by since.
+		if next, behind, err = c.follow(ctx, parent, maxListAge); err == nil {
+			// Ages count from entry; the time until this call has passed since.
 			return next, behind - waited, false, nil
 		}
 		var stale *StaleError
-		switch took := time.Since(begun); {
+		switch took := time.Since(callStart); {
 		case errors.Is(err, errNoTimeLeft):
-			// The store is next.
-		case patient:
+			// The store is read next.
+		case starting:
 			if !errors.As(err, &stale) && took > followTimeout {
-				// It is not even starting.
+				// It has not started yet.
 				c.suspect(ctx, parent, err)
 			}
-			pause.For(ctx, startPause)
-		case c.waitsFor(ctx, err, &away):
-			pause.For(ctx, lostPause-took)
+			pause.For(ctx, startRetryInterval)
+		case c.shouldWait(ctx, err, &outage):
+			pause.For(ctx, staleRetryInterval-took)
 		default:
-			left++
+			leftCount++
 			c.leave(ctx, parent, took, err)
 		}
-		if left == mostParents || (left > 0 && (c.ListAge() > c.oldestList() || c.timeLeft() < followTimeout)) {
+		if leftCount == maxParentsTried || (leftCount > 0 && (c.ListAge() > c.maxListAge() || c.timeUntilDirectRead() < followTimeout)) {
 			break
 		}
 	}
-	if left > 0 {
-		// Nobody that this host knows answers: perhaps others know better whom there is.
-		c.reread.Store(true)
+	if leftCount > 0 {
+		// No known host answers; the host list may be out of date.
+		c.rereadDirectory.Store(true)
 	}
-	return nil, 0, left > 0, err
+	return nil, 0, leftCount > 0, err
 }
 
-// absence is a time for which the host above has lost the store.
-type absence struct {
-	// told is set once a line has told of it, asked counts how often other hosts were asked for the store.
-	told  bool
-	asked int
-	// elsewhere is set once another host had the store.
-	elsewhere bool
+// parentOutage is the state of a host while its parent has lost the store.
+type parentOutage struct {
+	// logged is set once the outage has been logged; probes counts how often other hosts were asked
+	// for the store.
+	logged bool
+	probes int
+	// foundElsewhere is set once another host had the store.
+	foundElsewhere bool
 }
 
-// ask returns which of the other hosts are to be asked: all of them first, then one after the other. The
-// store may serve some hosts and reject others, so that one alone says little.
-func (a *absence) ask(others []Peer) []Peer {
-	a.asked++
-	if a.asked == 1 {
+// nextProbes returns the hosts to ask next: all of them the first time, then one after the other.
+// The store may serve some hosts and reject others, so the answer of a single host proves little.
+func (o *parentOutage) nextProbes(others []Peer) []Peer {
+	o.probes++
+	if o.probes == 1 {
 		return others
 	}
-	return others[a.asked%len(others):][:1]
+	return others[o.probes%len(others):][:1]
 }
 
-// waitsFor reports whether a host waits for the one above, which answers but has lost the store, instead of asking
-// the store itself. It is up to the first hosts of the failure domains to find a way to the store, so that a crowd does
-// not; if another failure domain's first host has one, the host above is left.
-func (c configurations) waitsFor(ctx context.Context, err error, away *absence) bool {
+// shouldWait reports whether to wait for a parent that answers but has lost the store, instead of
+// reading the store. Only the heads of the failure domains retry the store, so that not all hosts
+// do at once; if the head of another domain has the store, the parent is left.
+func (c configurations) shouldWait(ctx context.Context, err error, outage *parentOutage) bool {
 	var stale *StaleError
 	if !errors.As(err, &stale) {
 		return false
 	}
-	others := c.directory.Elsewhere(time.Now())
-	if len(others) == 0 || c.readsStore() {
+	others := c.directory.OtherDomainHeads(time.Now())
+	if len(others) == 0 || c.isReadingStore() {
 		return false
 	}
-	if !away.told {
-		away.told = true
+	if !outage.logged {
+		outage.logged = true
 		logrus.WithError(err).WithField("peer", stale.Reader).Info("fleet: The host above has lost the store. It is waited for.")
 	}
-	if c.ListAge() < c.mostLost() {
+	if c.ListAge() < c.searchListAge() {
 		return true
 	}
-	if c.allHaveLostStore(ctx, away.ask(others)) {
+	if c.allHaveLostStore(ctx, outage.nextProbes(others)) {
 		return true
 	}
-	// After a long absence the store has just come back, and the host above needs a moment more.
-	first := !away.elsewhere && c.ListAge() > 2*c.mostLost()
-	away.elsewhere = true
-	return first
+	// After a long outage the store has just come back, and the parent may need a moment more.
+	waitOnce := !outage.foundElsewhere && c.ListAge() > 2*c.searchListAge()
+	outage.foundElsewhere = true
+	return waitOnce
 }
 
-// readsStore reports whether this host reads the store itself, and is answered.
-func (s *Source) readsStore() bool {
-	return s.following.Load() == nil && s.ListAge() <= s.oldestList()
+// isReadingStore reports whether this host follows no other one and the store answers it.
+func (s *Source) isReadingStore() bool {
+	return s.following.Load() == nil && s.ListAge() <= s.maxListAge()
 }
 
-// allHaveLostStore reports whether all of some hosts answer that what they know is too old as well.
+// allHaveLostStore reports whether all given hosts answer that their data is too old as well.
 func (c configurations) allHaveLostStore(ctx context.Context, others []Peer) bool {
 	for _, other := range others {
 		if !c.hasLostStore(ctx, other) {
@@ -125,28 +126,29 @@
 	return true
 }
 
-// hasLostStore reports whether another host answers that what it knows is too old as well.
+// hasLostStore reports whether another host answers that its data is too old as well.
 func (c configurations) hasLostStore(ctx context.Context, other Peer) bool {
 	ctx, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
 	var reply AgeReply
-	if err := c.client(other).Call(ctx, other.Address, ageCall, &AgeArgs{}, &reply); err != nil {
-		// It may be cut off, which says nothing of the store.
+	if err := c.clientFor(other).Call(ctx, other.Address, ageCall, &AgeArgs{}, &reply); err != nil {
+		// The host may be unreachable, which says nothing about the store.
 		c.suspect(ctx, other, err)
 		return false
 	}
-	// When the store has gone for all, the other one may have been told by a reader that had read it later.
-	youngest := c.ListAge() - c.readerInterval()
-	return reply.List > min(youngest, c.oldestList()) || reply.Configuration > c.oldestConfiguration()
+	// In an outage of the store for all, the other host may have data from a reader that read it
+	// later.
+	otherReaderAge := c.ListAge() - c.readerInterval()
+	return reply.List > min(otherReaderAge, c.maxListAge()) || reply.Configuration > c.maxConfigurationAge()
 }
 
 // errNoTimeLeft says that the store must be read before other hosts are asked again.
-var errNoTimeLeft = errors.New("nothing was heard in time")
+var errNoTimeLeft = errors.New("no update from other hosts in time")
 
-// errNoParent says that this host follows none.
-var errNoParent = errors.New("there is no host to follow")
+// errNoParent says that this host has no parent.
+var errNoParent = errors.New("no host to follow")
 
-// parent returns the host that this one follows, or false if it reads the store.
+// parent returns the host to follow, or false if this host is to read the store.
 func (s *Source) parent() (Peer, bool) {
 	if s.options.Address == "" {
 		return Peer{}, false
@@ -154,9 +156,9 @@
 	return s.directory.Parent(time.Now())
 }
 
-// patient reports whether the host has just started, in a large fleet or with all others
-// for the first time, and waits for others to tell it the upstreams.
-func (s *Source) patient() bool {
-	crowded := s.options.FirstStart || s.directory.Large()
-	return crowded && s.ListAge() >= neverListed && time.Now().Before(s.patientUntil)
+// waitsAtStart reports whether the host has just started, in a large fleet or together with all
+// others, and waits for other hosts to send the upstreams.
+func (s *Source) waitsAtStart() bool {
+	mayWait := s.options.FirstStart || s.directory.IsLarge()
+	return mayWait && s.ListAge() >= unknownAge && time.Now().Before(s.startWaitUntil)
 }
--- a/jackdawd/internal/fleet/service.go
+++ b/jackdawd/internal/fleet/service.go
@@ -8,78 +8,78 @@
 )
 
 const (
-	// mostWait bounds how long a follower may have its call held.
-	mostWait = time.Second
-	// refreshStep is how much later a list must have been heard to count as heard anew;
-	// two calls on the way from one reading differ by less.
-	refreshStep = 100 * time.Millisecond
+	// maxPollWait bounds how long a follower may have its call held open.
+	maxPollWait = time.Second
+	// listTimeTolerance is the minimum time difference between two distinct reads of the list. The
+	// computed time of one read varies by less between calls.
+	listTimeTolerance = 100 * time.Millisecond
 )
 
-// Beliefs is what a host knows.
-type Beliefs interface {
+// State is the configuration and the upstreams that this host has; the membership keeper implements
+// it.
+type State interface {
 	Changes() *membership.Changes
 	Age() time.Duration
-	Evidence
+	FailureScores
 }
 
-// service answers the hosts that follow this one.
+// service implements the RPC methods called by other hosts.
 type service struct {
 	source    *Source
-	beliefs   Beliefs
-	documents packer[int64]
-	lists     packer[membership.Position]
+	state     State
+	documents compressor[int64]
+	lists     compressor[membership.Position]
 }
 
-// Follow returns what the follower has missed; it waits for something new if there is
-// nothing. That the list of upstreams was read again and is the same is news too: the
-// follower's knowledge is then as young as this host's.
+// Follow returns what the follower does not have yet, and waits for an update if there is nothing.
+// A new read of an unchanged list of upstreams is an update too, since it makes the follower's data
+// as recent as this host's.
 func (s *service) Follow(args *FollowArgs, reply *FollowReply) error {
-	began, called := s.source.options.Uptime(), time.Now()
-	s.source.neighbors.met(called, &args.Exchange)
-	timer := time.NewTimer(min(args.Wait, mostWait, max(args.Oldest-s.source.ListAge(), 0)))
+	start, calledAt := s.source.options.Uptime(), time.Now()
+	s.source.subtree.record(calledAt, &args.Exchange)
+	timer := time.NewTimer(min(args.Wait, maxPollWait, max(args.Oldest-s.source.ListAge(), 0)))
 	defer timer.Stop()
 	for waiting := true; waiting; {
-		refreshed, planned, changes := s.source.refreshed.raised(), s.source.planned.raised(), s.beliefs.Changes()
-		if s.news(called, args, changes) {
+		refreshed, planUpdated, changes := s.source.refreshed.raised(), s.source.planUpdated.raised(), s.state.Changes()
+		if s.hasUpdate(calledAt, args, changes) {
 			break
 		}
 		select {
 		case <-changes.Superseded():
 		case <-refreshed:
-		case <-planned:
+		case <-planUpdated:
 		case <-timer.C:
 			waiting = false
 		}
 	}
-	reply.Waited = s.source.options.Uptime() - began
-	return s.fill(called, args, reply)
+	reply.Waited = s.source.options.Uptime() - start
+	return s.fillReply(calledAt, args, reply)
 }
 
-// news reports whether there is something that the follower does not know.
-func (s *service) news(called time.Time, args *FollowArgs, c *membership.Changes) bool {
-	if c.Configuration() == nil || s.source.ListAge() >= neverListed {
-		// This host has just started and does not know everything itself.
+// hasUpdate reports whether there is something that the follower does not have.
+func (s *service) hasUpdate(calledAt time.Time, args *FollowArgs, changes *membership.Changes) bool {
+	if changes.Configuration() == nil || s.source.ListAge() >= unknownAge {
+		// This host has just started and its own data is incomplete.
 		return false
 	}
-	if args.Oldest >= neverListed && s.beliefs.Age() > s.source.oldestConfiguration() {
-		// The follower waits for this host to have the store back. Told of the list alone, it would
-		// turn the answer down and pause, and so would those below it, one after the other.
+	if args.Oldest >= unknownAge && s.state.Age() > s.source.maxConfigurationAge() {
+		// The follower waits for this host to have the store back. With the list of upstreams alone
+		// it would reject the answer and pause, and so would its own followers, level by level.
 		return false
 	}
-	since := time.Duration(s.source.listHeard.Load()) - args.Heard
-	return s.source.hasPlanFor(time.Now(), called, &args.Exchange) || c.Configuration().Version() > args.Version || c.End() != args.Position || since < 0 || since >= refreshStep
+	listAdvance := time.Duration(s.source.listTime.Load()) - args.Heard
+	return s.source.hasPlanFor(time.Now(), calledAt, &args.Exchange) || changes.Configuration().Version() > args.Version || changes.End() != args.Position || listAdvance < 0 || listAdvance >= listTimeTolerance
 }
 
-func (s *service) fill(called time.Time, args *FollowArgs, reply *FollowReply) error {
-	// The ages are taken before what they are ages of, so that none is said to be newer
-	// than it is.
-	reply.Behind, reply.ListBehind = s.beliefs.Age(), s.source.ListAge()
-	reply.Heard = time.Duration(s.source.listHeard.Load())
-	changes := s.beliefs.Changes()
-	if args.Hosts.Before(s.source.directory.Until()) {
+func (s *service) fillReply(calledAt time.Time, args *FollowArgs, reply *FollowReply) error {
+	// Ages are read before the data, so that they are never too low.
+	reply.Behind, reply.ListBehind = s.state.Age(), s.source.ListAge()
+	reply.Heard = time.Duration(s.source.listTime.Load())
+	changes := s.state.Changes()
+	if args.Hosts.Before(s.source.directory.Position()) {
 		reply.Hosts, reply.HostsWhole, reply.HostsUntil = s.source.directory.Since(args.Hosts)
 	}
-	reply.Exchange = s.source.answer(time.Now(), called, &args.Exchange)
+	reply.Exchange = s.source.exchangeReply(time.Now(), calledAt, &args.Exchange)
 	if err := s.fillDocument(args, reply, changes); err != nil {
 		return err
 	}
@@ -92,17 +92,17 @@
 	return s.fillEntries(reply, change)
 }
 
-func (s *service) fillDocument(args *FollowArgs, reply *FollowReply, c *membership.Changes) error {
-	conf := c.Configuration()
+func (s *service) fillDocument(args *FollowArgs, reply *FollowReply, changes *membership.Changes) error {
+	conf := changes.Configuration()
 	if conf == nil {
-		reply.Behind = neverListed
+		reply.Behind = unknownAge
 		return nil
 	}
 	if conf.Version() <= args.Version {
 		return nil
 	}
 	var err error
-	reply.Document, err = s.documents.pack(conf.Version(), func() ([]byte, error) { return conf.Document(), nil })
+	reply.Document, err = s.documents.compress(conf.Version(), func() ([]byte, error) { return conf.Document(), nil })
 	return err
 }
 
@@ -112,38 +112,38 @@
 		return nil
 	}
 	var err error
-	reply.Listed, err = packUpstreams(&s.lists, reply.Position, change.Entries)
+	reply.Listed, err = compressUpstreams(&s.lists, reply.Position, change.Entries)
 	return err
 }
 
-// Age returns how old this host's knowledge is.
+// Age returns the ages of this host's configuration and list of upstreams.
 func (s *service) Age(_ *AgeArgs, reply *AgeReply) error {
-	reply.Configuration, reply.List = s.beliefs.Age(), s.source.ListAge()
+	reply.Configuration, reply.List = s.state.Age(), s.source.ListAge()
 	return nil
 }
 
-// Exchange takes in what another host knows, and returns what this one does when it has a plan
-// that the other one has not been told. One that leaves is told nothing.
+// Exchange records another host's report and answers when there is a plan that the host does not
+// have. A host that leaves gets an empty reply.
 func (s *service) Exchange(args *ExchangeArgs, reply *ExchangeReply) error {
-	called := time.Now()
+	calledAt := time.Now()
 	if args.Leaves {
-		s.source.neighbors.left(args.Host)
+		s.source.subtree.remove(args.Host)
 		return nil
 	}
-	s.source.neighbors.met(called, args)
-	timer := time.NewTimer(followWait)
+	s.source.subtree.record(calledAt, args)
+	timer := time.NewTimer(followPollWait)
 	defer timer.Stop()
 	for waiting := true; waiting; {
-		planned := s.source.planned.raised()
-		if s.source.hasPlanFor(time.Now(), called, args) {
+		planUpdated := s.source.planUpdated.raised()
+		if s.source.hasPlanFor(time.Now(), calledAt, args) {
 			break
 		}
 		select {
-		case <-planned:
+		case <-planUpdated:
 		case <-timer.C:
 			waiting = false
 		}
 	}
-	*reply = s.source.answer(time.Now(), called, args)
+	*reply = s.source.exchangeReply(time.Now(), calledAt, args)
 	return nil
 }
--- a/jackdawd/internal/fleet/signal.go
+++ b/jackdawd/internal/fleet/signal.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// A signal wakes all who wait for something to happen next.
+// A signal wakes all goroutines that wait for the next event.
 type signal struct {
 	mu   sync.Mutex
 	next chan struct{}
@@ -10,14 +10,14 @@
 
 func newSignal() *signal { return &signal{next: make(chan struct{})} }
 
-// raised is closed when the signal is raised next.
+// raised returns a channel that is closed when the signal is next raised.
 func (s *signal) raised() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.next
 }
 
-// raise wakes those who wait.
+// raise wakes the waiting goroutines.
 func (s *signal) raise() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/jackdawd/internal/fleet/source.go
+++ b/jackdawd/internal/fleet/source.go
@@ -21,25 +21,28 @@
 )
 
 const (
-	// gatherHosts is how long a host waits, when all start for the first time, for the others
-	// to write their notices before it reads the list: they start within 0.3 s of each other and
-	// write at once. It then knows all that there are, and need not read again.
-	gatherHosts = 800 * time.Millisecond
-	// connectTimeout is how long a connection to another host of the region may take. A host that has no power yet
-	// does not answer, and the kernel asks again only after a second.
+	// firstStartWait is how long a host waits, when all hosts start for the first time, for the
+	// others to register before it reads the host list. They start within 0.3 s of each other and
+	// register at once, so one read finds them all.
+	firstStartWait = 800 * time.Millisecond
+	// connectTimeout is the timeout of a connection to another host of the region. A host that is
+	// not powered up yet does not answer, and the kernel retransmits only after a second.
 	connectTimeout = 150 * time.Millisecond
-	// farewellTimeout is how long a stopping host tries to remove its notice.
-	farewellTimeout = 300 * time.Millisecond
-	secretBytes     = 16
-	queuedChanges   = 64
-	// neverHeard stands for the moment of a list that was not heard yet.
-	neverHeard = -neverListed
+	// deregisterTimeout is how long a stopping host tries to remove its registration.
+	deregisterTimeout = 300 * time.Millisecond
+	secretBytes       = 16
+	maxQueuedChanges  = 64
+	// unknownTime is the time of a list that was never received.
+	unknownTime = -unknownAge
 )
 
-// A Board is where hosts write of themselves.
+// A Board stores the registrations of hosts.
 type Board interface {
-	Put(ctx context.Context, host string, notice []byte) error
-	Next(ctx context.Context) (notices map[string][]byte, whole bool, until traffic.LogPosition, err error)
+	// Put stores the registration of a host, or removes it if registration is nil.
+	Put(ctx context.Context, host string, registration []byte) error
+	// Next returns the registrations changed since the last call, with nil for a removed one, and
+	// the position they are valid at; whole is set if they are all existing registrations.
+	Next(ctx context.Context) (registrations map[string][]byte, whole bool, until traffic.LogPosition, err error)
 }
 
 // StoreConfigurations reads the configuration from the store.
@@ -52,15 +55,15 @@
 	Next(ctx context.Context) (traffic.UpstreamChange, error)
 }
 
-// Options are the parts that a source is made of.
+// Options configure a Source.
 type Options struct {
 	Name          string
 	FailureDomain string
 	Region        string
-	// Strength compares this host with others.
+	// Strength is this host's capacity relative to other hosts.
 	Strength float64
-	// FirstStart is set while the whole system starts for the first time: nobody waits for
-	// it yet, and the list of hosts is still being written.
+	// FirstStart is set while the whole system starts for the first time: there are no callers yet,
+	// and hosts are still registering.
 	FirstStart bool
 	// Address is where other hosts reach this one; empty if they cannot.
 	Address        string
@@ -68,184 +71,191 @@
 	Configurations StoreConfigurations
 	Upstreams      StoreUpstreams
 	Plans          Plans
-	// Quarantine holds the requests that end upstreams; QuarantineBoard is where they are written.
+	// Quarantine holds the requests that crash upstreams; their notices are kept in the store.
 	Quarantine      Quarantine
 	QuarantineBoard QuarantineBoard
-	// Uptime is a steady clock that also counts the time for which the host was suspended.
+	// Uptime is a monotonic clock that also advances while the host is suspended.
 	Uptime func() time.Duration
-	// InForce returns for how long operators let an old configuration be acted on.
+	// InForce returns the operators' bound on how long an old configuration may be acted on.
 	InForce func() time.Duration
-	// Decode reads a configuration that another host passes on.
+	// Decode parses a configuration received from another host.
 	Decode func(document []byte) (*traffic.Configuration, error)
-	// Listen and Dial make connections between hosts, over TCP if they are nil.
+	// Listen and Dial create connections between hosts, over TCP if nil.
 	Listen func(address string) (net.Listener, error)
 	Dial   peers.Dial
 }
 
-// A Source is where a host learns of configuration and upstreams: from the store, or
-// from a host that does.
+// A Source provides configuration and upstreams, from the store or from a host that reads or
+// follows it.
 type Source struct {
 	options   Options
 	directory *Directory
-	neighbors *neighbors
+	subtree   *subtree
 	mu        sync.Mutex
 	server    *peers.Server
 	clients   map[Peer]*peers.Client
-	// cases is the client for calls about requests that end upstreams, to the host casesOf.
-	cases   *peers.Client
-	casesOf Peer
-	// bytes counts those of clients that were dropped.
-	bytes int64
+	// quarantineClient is the client for calls about requests that crash upstreams, to
+	// quarantinePeer.
+	quarantineClient *peers.Client
+	quarantinePeer   Peer
+	// closedClientBytes counts the bytes of clients that were closed.
+	closedClientBytes int64
 
-	// joined is closed when the host knows which others there are, settled when it has
-	// begun to follow one of them, or to read the store for good.
-	joined, settled chan struct{}
-	settleOnce      sync.Once
-	patientUntil    time.Time
-	// following is the host that is followed; nil while the store is read.
+	// joined is closed when the host list has been read, sourceChosen when the host has started to
+	// follow another one or to read the store.
+	joined, sourceChosen chan struct{}
+	sourceChosenOnce     sync.Once
+	startWaitUntil       time.Time
+	// following is the host that is followed, nil while the store is read.
 	following atomic.Pointer[Peer]
 
-	// What follows belongs to the goroutine that reads configurations.
-	// asked is the host that was asked last, whole is set until its list of upstreams was
-	// taken over.
-	asked string
-	whole bool
-	// gathers is set if the hosts below have just been told of a plan alone, at refreshedAt.
-	gathers     bool
-	refreshedAt time.Time
-	position    membership.Position
-	version     int64
-	parentHeard time.Duration
-	// storeLost is set while reads of the configuration from the store fail, storeBack raised when they no longer do.
-	storeLost atomic.Bool
-	storeBack *signal
-	// ownRead is the last read of the configuration that was made because others told nothing in time.
-	ownRead ownRead
+	// The next fields belong to the goroutine that reads configurations. askedHost is the host
+	// called last; needsFullList is set until its complete list of upstreams has been accepted.
+	askedHost     string
+	needsFullList bool
+	// lastReplyPlanOnly is set if the last reply, applied at appliedAt, contained a plan and
+	// nothing else, so that the children have just been sent that plan.
+	lastReplyPlanOnly bool
+	appliedAt         time.Time
+	position          membership.Position
+	version           int64
+	parentListTime    time.Duration
+	// storeFailing is set while reads of the configuration from the store fail; storeRecovered is
+	// raised when they succeed again.
+	storeFailing   atomic.Bool
+	storeRecovered *signal
+	// lastDirectRead is the last read of the configuration made because other hosts had not sent it
+	// in time.
+	lastDirectRead directRead
 
-	// telling guards what follows up to countedBy: toldTo, told and toldAt are which host was told of requests in progress, what and when.
-	telling sync.Mutex
-	toldTo  string
-	told    account
-	toldAt  time.Time
-	// countedBy is the host that counts what was told.
-	countedBy Peer
-	// beliefs is what this host knows.
-	beliefs Beliefs
-	// written are the requests that stand on the board.
-	written written
+	// reportMu guards the fields up to countingParent. reportedTo, reported and reportedAt are the
+	// host that the requests in progress were last reported to, what was reported, and when.
+	reportMu   sync.Mutex
+	reportedTo string
+	reported   reportedCounts
+	reportedAt time.Time
+	// countingParent is the host that counts the reported requests.
+	countingParent Peer
+	// state is the configuration and the upstreams that this host has.
+	state State
+	// knownNotices are the quarantine notices known to be in the store.
+	knownNotices knownNotices
 
-	// intake keeps what is read from the store and what other hosts tell in order.
-	intake intake
+	// listGuard orders lists read from the store and lists received from other hosts.
+	listGuard listGuard
 
-	changes chan told
-	// lost is set while nobody tells of the upstreams, heard is the moment up to which they are
-	// known once what was handed on is taken in; they belong to the goroutine that reads upstreams.
-	lost  bool
-	heard time.Duration
-	// listFailed is set if the last read of the list from the store failed.
-	listFailed bool
-	// left holds a token when a host was left, for the upstreams to be read at once.
-	left chan struct{}
-	// listHeard is the moment up to which the upstreams are known, pace how often they
-	// are to be read; refreshed is raised when they are known up to a later one.
-	listHeard atomic.Int64
+	changes chan upstreamUpdate
+	// lossReported is set once an outage of the parent was returned as an error; pendingListTime is
+	// the time at which the list is valid once the last returned change has been applied. Both
+	// belong to the goroutine that reads upstreams.
+	lossReported    bool
+	pendingListTime time.Duration
+	// listReadFailed is set if the last read of the list from the store failed.
+	listReadFailed bool
+	// parentLeft holds a token when a parent was left, so that the upstreams are read at once.
+	parentLeft chan struct{}
+	// listTime is the time at which the list of upstreams is valid, upstreamInterval how often it
+	// is to be read; refreshed is raised when listTime advances.
+	listTime  atomic.Int64
 	refreshed *signal
-	// planned is raised when this host has drawn a plan, or has been told one while it reads the store.
-	planned *signal
-	// plannedAt is when planned was raised last; it belongs to the goroutine that exchanges.
-	plannedAt time.Time
-	pace      atomic.Int64
-	listedAt  time.Time
-	// reread is set when the list of hosts should be read soon, missed when this host's
-	// notice is not on it.
-	reread       atomic.Bool
-	missed       atomic.Bool
-	announcement announcement
-	// restores counts the restores of the store after which this host wrote its notices again.
+	// planUpdated is raised when this host has computed a plan, or has received one while it reads
+	// the store.
+	planUpdated *signal
+	// planUpdatedAt is when planUpdated was last raised; it belongs to the goroutine that runs the
+	// exchange.
+	planUpdatedAt    time.Time
+	upstreamInterval atomic.Int64
+	listReadAt       time.Time
+	// rereadDirectory is set when the host list should be read soon, registrationMissing when this
+	// host is not on it.
+	rereadDirectory      atomic.Bool
+	registrationMissing  atomic.Bool
+	registrationSchedule registrationSchedule
+	// restores counts the restores of the store after which this host registered again.
 	restores atomic.Int64
-	// restored holds a token when the store has come back from an older copy.
-	restored chan struct{}
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
+	// storeRestored holds a token when the store was restored from an older backup.
+	storeRestored chan struct{}
+	cancel        context.CancelFunc
+	done          sync.WaitGroup
 }
 
-// NewSource returns a source; Start makes it known to other hosts.
+// NewSource returns a source. Start makes it known to other hosts.
 func NewSource(o Options) *Source {
 	secret := make([]byte, secretBytes)
 	// Reading from crypto/rand never fails.
 	_, _ = rand.Read(secret)
-	self := Peer{Name: o.Name, Notice: Notice{
+	self := Peer{Name: o.Name, Registration: Registration{
 		Address: o.Address, FailureDomain: o.FailureDomain, Region: o.Region, Strength: o.Strength, Secret: hex.EncodeToString(secret),
 	}}
 	s := &Source{
-		options: o, directory: NewDirectory(self), neighbors: newNeighbors(), clients: map[Peer]*peers.Client{},
-		joined: make(chan struct{}), settled: make(chan struct{}),
-		patientUntil: time.Now().Add(startPatience + mathrand.N(startSpread)),
-		changes:      make(chan told, queuedChanges), left: make(chan struct{}, 1), restored: make(chan struct{}, 1), refreshed: newSignal(), planned: newSignal(), storeBack: newSignal(),
+		options: o, directory: NewDirectory(self), subtree: newSubtree(), clients: map[Peer]*peers.Client{},
+		joined: make(chan struct{}), sourceChosen: make(chan struct{}),
+		startWaitUntil: time.Now().Add(minStartWait + mathrand.N(startWaitJitter)),
+		changes:        make(chan upstreamUpdate, maxQueuedChanges), parentLeft: make(chan struct{}, 1), storeRestored: make(chan struct{}, 1), refreshed: newSignal(), planUpdated: newSignal(), storeRecovered: newSignal(),
 	}
-	s.written.requests = map[string]traffic.LogPosition{}
-	s.intake.until, s.heard = neverHeard, neverHeard
-	s.listHeard.Store(int64(o.Uptime() - neverListed))
-	s.pace.Store(int64(usualPace))
+	s.knownNotices.positions = map[string]traffic.LogPosition{}
+	s.listGuard.asOf, s.pendingListTime = unknownTime, unknownTime
+	s.listTime.Store(int64(o.Uptime() - unknownAge))
+	s.upstreamInterval.Store(int64(defaultUpstreamInterval))
 	return s
 }
 
-// Start answers other hosts by what the beliefs hold, and begins to follow the list of hosts.
-func (s *Source) Start(beliefs Beliefs) {
+// Start serves other hosts from the given state and starts to maintain the host list.
+func (s *Source) Start(state State) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.beliefs = beliefs
+	s.state = state
 	if err := s.checkBounds(); err != nil {
 		logrus.WithError(err).Warn("fleet: Hosts must ask the store more often to keep a bound.")
 	}
-	s.done.Go(func() { s.readBoard(ctx) })
-	s.done.Go(func() { s.writeBoard(ctx) })
+	s.done.Go(func() { s.followQuarantineNotices(ctx) })
+	s.done.Go(func() { s.publishQuarantineNotices(ctx) })
 	if s.options.Address == "" {
 		close(s.joined)
 		return
 	}
 	s.done.Go(func() {
 		s.join(ctx)
-		s.serve(ctx, beliefs)
+		s.serve(ctx, state)
 		close(s.joined)
-		s.done.Go(func() { s.exchangeAll(ctx) })
-		s.done.Go(func() { s.reportCases(ctx) })
-		s.done.Go(func() { s.followCases(ctx) })
-		s.followDirectory(ctx)
+		s.done.Go(func() { s.runExchange(ctx) })
+		s.done.Go(func() { s.reportRecords(ctx) })
+		s.done.Go(func() { s.followRecords(ctx) })
+		s.maintainDirectory(ctx)
 	})
 }
 
-// join reads which hosts there are and writes this one's notice if there is none.
+// join reads the host list and registers this host if it is not on it.
 func (s *Source) join(ctx context.Context) {
 	if s.options.FirstStart {
-		s.announce(ctx)
-		pause.For(ctx, gatherHosts+mathrand.N(gatherHosts/2))
+		s.register(ctx)
+		pause.For(ctx, firstStartWait+mathrand.N(firstStartWait/2))
 	}
-	notices, whole, until, err := s.options.Board.Next(ctx)
+	registrations, whole, until, err := s.options.Board.Next(ctx)
 	if err != nil {
-		// A failure shows in the reads of the configuration, and there it is told.
-		s.reread.Store(true)
-		s.announcement.ended(time.Now(), err)
+		// The reads of the configuration fail as well, and log it.
+		s.rereadDirectory.Store(true)
+		s.registrationSchedule.finishAttempt(time.Now(), err)
 		return
 	}
-	if own := decodeNotices(map[string][]byte{s.options.Name: notices[s.options.Name]})[s.options.Name]; own != nil {
+	if own := decodeRegistrations(map[string][]byte{s.options.Name: registrations[s.options.Name]})[s.options.Name]; own != nil {
 		s.directory.Adopt(*own)
 	}
-	if s.directory.Take(notices, whole, until) {
-		// The others learn of it from those who read the list.
-		s.announce(ctx)
+	if s.directory.Update(registrations, whole, until) {
+		// The other hosts receive it from the readers.
+		s.register(ctx)
 	}
 }
 
-// serve begins to answer other hosts.
-func (s *Source) serve(ctx context.Context, beliefs Beliefs) {
-	answering := &service{source: s, beliefs: beliefs}
+// serve starts the RPC server for other hosts.
+func (s *Source) serve(ctx context.Context, state State) {
+	svc := &service{source: s, state: state}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ctx.Err() != nil {
 		return
 	}
-	server, err := s.listen(answering)
+	server, err := s.listen(svc)
 	if err != nil {
 		logrus.WithError(err).Error("fleet: Other hosts cannot be answered.")
 		return
@@ -258,8 +268,8 @@
 	})
 }
 
-func (s *Source) listen(answering *service) (*peers.Server, error) {
-	secrets, services := []string{s.directory.Self().Secret}, map[string]any{serviceName: answering}
+func (s *Source) listen(svc *service) (*peers.Server, error) {
+	secrets, services := []string{s.directory.Self().Secret}, map[string]any{serviceName: svc}
 	if s.options.Listen == nil {
 		return peers.NewServer(s.options.Address, secrets, services)
 	}
@@ -270,7 +280,7 @@
 	return peers.NewServerOn(listener, secrets, services)
 }
 
-// Close removes this host's notice and stops.
+// Close removes this host's registration and stops.
 func (s *Source) Close() error {
 	s.cancel()
 	s.mu.Lock()
@@ -280,10 +290,10 @@
 		s.done.Wait()
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), farewellTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
 	if err := s.options.Board.Put(ctx, s.options.Name, nil); err != nil {
-		// Others find out by themselves that this host is gone.
+		// Other hosts detect that this one is gone.
 		logrus.WithError(err).Info("fleet: This host's notice was not removed.")
 	}
 	err := server.Stop(ctx)
@@ -291,13 +301,13 @@
 	for _, c := range s.clients {
 		c.Close()
 	}
-	s.closeCases()
+	s.closeQuarantineClient()
 	s.mu.Unlock()
 	s.done.Wait()
 	return err
 }
 
-// await waits until a channel is closed, unless the context ends.
+// await waits until a channel is closed or the context ends.
 func (s *Source) await(ctx context.Context, done <-chan struct{}) error {
 	select {
 	case <-done:
@@ -307,21 +317,21 @@
 	}
 }
 
-// settle says that the host has begun to follow another one or to read the store.
-func (s *Source) settle() { s.settleOnce.Do(func() { close(s.settled) }) }
+// markSourceChosen records that the host has started to follow another one or to read the store.
+func (s *Source) markSourceChosen() { s.sourceChosenOnce.Do(func() { close(s.sourceChosen) }) }
 
-// heardList takes in the moment up to which the upstreams are known.
-func (s *Source) heardList(at time.Duration) { s.listHeard.Store(int64(at)) }
+// setListTime sets the time at which the list of upstreams is valid.
+func (s *Source) setListTime(at time.Duration) { s.listTime.Store(int64(at)) }
 
-// ListAge returns how old the list of upstreams may be.
+// ListAge returns the maximum age of the list of upstreams.
 func (s *Source) ListAge() time.Duration {
-	return s.options.Uptime() - time.Duration(s.listHeard.Load())
+	return s.options.Uptime() - time.Duration(s.listTime.Load())
 }
 
-// Directory returns the hosts that are known.
+// Directory returns the known hosts.
 func (s *Source) Directory() *Directory { return s.directory }
 
-// Following returns the reader that is followed, or "" while the store is read.
+// Following returns the name of the followed host, or "" while the store is read.
 func (s *Source) Following() string {
 	if p := s.following.Load(); p != nil {
 		return p.Name
@@ -329,38 +339,38 @@
 	return ""
 }
 
-// leave gives the host that was followed up for a while.
+// leave stops following a parent and skips it for a while.
 func (s *Source) leave(ctx context.Context, parent Peer, took time.Duration, err error) {
 	logrus.WithError(err).WithFields(logrus.Fields{
-		"peer": parent.Name, "took": took.String(), "configuration-age": s.beliefs.Age().String(), "list-age": s.ListAge().String(),
+		"peer": parent.Name, "took": took.String(), "configuration-age": s.state.Age().String(), "list-age": s.ListAge().String(),
 	}).Info("fleet: The reader is left.")
-	s.asked = ""
+	s.askedHost = ""
 	s.dropClient(parent)
 	s.suspect(ctx, parent, err)
 }
 
-// suspect passes a host over for a while, and removes its notice if it must be gone.
-func (s *Source) suspect(ctx context.Context, p Peer, cause error) {
-	var stale *StaleError
-	if !s.directory.Suspect(time.Now(), p.Name, errors.As(cause, &stale)) {
+// suspect skips a host for a while, and removes its registration if it is considered gone.
+func (s *Source) suspect(ctx context.Context, peer Peer, cause error) {
+	var staleErr *StaleError
+	if !s.directory.Suspect(time.Now(), peer.Name, errors.As(cause, &staleErr)) {
 		return
 	}
-	if err := s.options.Board.Put(ctx, p.Name, nil); err != nil {
-		logrus.WithError(err).WithField("peer", p.Name).Warn("fleet: The notice of a host that is gone was not removed.")
+	if err := s.options.Board.Put(ctx, peer.Name, nil); err != nil {
+		logrus.WithError(err).WithField("peer", peer.Name).Warn("fleet: The notice of a host that is gone was not removed.")
 	}
 }
 
-func (s *Source) setFollowing(p *Peer) {
-	old := s.following.Swap(p)
-	s.settle()
+func (s *Source) setFollowing(parent *Peer) {
+	previous := s.following.Swap(parent)
+	s.markSourceChosen()
 	switch {
-	case p == nil && old != nil:
+	case parent == nil && previous != nil:
 		select {
-		case s.left <- struct{}{}:
+		case s.parentLeft <- struct{}{}:
 		default:
 		}
-		logrus.WithField("peer", old.Name).Info("fleet: The store is read here.")
-	case p != nil && (old == nil || old.Name != p.Name):
-		logrus.WithField("peer", p.Name).Info("fleet: A reader is followed.")
+		logrus.WithField("peer", previous.Name).Info("fleet: The store is read here.")
+	case parent != nil && (previous == nil || previous.Name != parent.Name):
+		logrus.WithField("peer", parent.Name).Info("fleet: A reader is followed.")
 	}
 }
