--- a/jackdawd/internal/fleet/upstreams.go
+++ b/jackdawd/internal/fleet/upstreams.go
@@ -11,136 +11,139 @@
 	"jackdawhinge/jackdawd/internal/membership"
 )
 
-// Upstreams returns the source as one of upstreams.
+// Upstreams returns the source as a source of upstreams.
 func (s *Source) Upstreams() membership.Upstreams { return upstreams{s} }
 
 type upstreams struct{ *Source }
 
-// Next returns what the host above told; while there is none it reads the store at the pace given.
-func (u upstreams) Next(ctx context.Context, pace time.Duration) (traffic.UpstreamChange, error) {
-	u.pace.Store(int64(pace))
-	u.takenIn()
+// Next returns the next change received from the parent. Without a parent it reads the store at the
+// given interval.
+func (u upstreams) Next(ctx context.Context, interval time.Duration) (traffic.UpstreamChange, error) {
+	u.upstreamInterval.Store(int64(interval))
+	u.confirmApplied()
 	if err := u.await(ctx, u.joined); err != nil {
 		return traffic.UpstreamChange{}, err
 	}
-	if u.patient() {
-		if err := u.await(ctx, u.settled); err != nil {
+	if u.waitsAtStart() {
+		if err := u.await(ctx, u.sourceChosen); err != nil {
 			return traffic.UpstreamChange{}, err
 		}
 	}
 	if u.following.Load() == nil {
 		return u.read(ctx, u.readerInterval())
 	}
-	return u.awaitChange(ctx, pace)
+	return u.awaitChange(ctx, interval)
 }
 
-// errLost says that nobody tells of the upstreams any more.
-var errLost = errors.New("the host above has lost the store")
+// errParentLost says that no host sends upstream changes any more.
+var errParentLost = errors.New("parent host has lost the store")
 
-// awaitChange waits until the host above tells of a change. That it tells nothing for so long
-// that it has lost the store is an error, told once: entries that are gone when the store is
-// back may have lapsed.
-func (u upstreams) awaitChange(ctx context.Context, pace time.Duration) (traffic.UpstreamChange, error) {
-	timer := time.NewTimer(pace)
+// awaitChange waits for a change from the parent. If the parent's list is so old that it must have
+// lost the store, it returns an error, once per outage: entries that are missing when the store is
+// back may have expired.
+func (u upstreams) awaitChange(ctx context.Context, interval time.Duration) (traffic.UpstreamChange, error) {
+	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	for {
 		select {
-		case t := <-u.changes:
-			u.lost = false
-			if change, news := u.hand(t); news {
+		case update := <-u.changes:
+			u.lossReported = false
+			if change, changed := u.receive(update); changed {
 				return change, nil
 			}
-		case <-u.left:
-			// What the other host had not heard of may be seconds old already.
-			u.lost = false
+		case <-u.parentLeft:
+			// What the other host had not received may already be seconds old.
+			u.lossReported = false
 			return u.read(ctx, 0)
 		case <-timer.C:
-			switch lost := u.ListAge() > 2*u.oldestList(); {
-			case lost && !u.lost:
-				u.lost = true
-				return traffic.UpstreamChange{}, errLost
-			case !lost:
-				u.lost = false
+			switch stale := u.ListAge() > 2*u.maxListAge(); {
+			case stale && !u.lossReported:
+				u.lossReported = true
+				return traffic.UpstreamChange{}, errParentLost
+			case !stale:
+				u.lossReported = false
 				return traffic.UpstreamChange{}, nil
 			}
-			timer.Reset(lostPause)
+			timer.Reset(staleRetryInterval)
 		case <-ctx.Done():
 			return traffic.UpstreamChange{}, ctx.Err()
 		}
 	}
 }
 
-// read reads the store, not sooner than so long after the last time.
+// read reads the store, at least interval after the last read.
 func (u upstreams) read(ctx context.Context, interval time.Duration) (traffic.UpstreamChange, error) {
-	wait, back := interval-time.Since(u.listedAt), u.storeBack.raised()
-	if u.listFailed && u.storeLost.Load() {
-		// The reads of the configuration show when the store is back.
-		wait = lostListWait
+	wait, recovered := interval-time.Since(u.listReadAt), u.storeRecovered.raised()
+	if u.listReadFailed && u.storeFailing.Load() {
+		// The reads of the configuration detect when the store is back.
+		wait = maxListRetryWait
 	}
 	if wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
-		case t := <-u.changes:
-			// It was told just before the store is read again.
-			change, _ := u.hand(t)
+		case update := <-u.changes:
+			// It was received just before the store is read again.
+			change, _ := u.receive(update)
 			return change, nil
-		case <-back:
+		case <-recovered:
 		case <-timer.C:
 		case <-ctx.Done():
 			return traffic.UpstreamChange{}, ctx.Err()
 		}
 	}
-	if !u.intake.begin(&u.following) {
+	if !u.listGuard.beginRead(&u.following) {
 		return traffic.UpstreamChange{}, nil
 	}
 	sent := u.options.Uptime()
 	change, err := u.options.Upstreams.Next(ctx)
-	u.intake.end(err == nil, u.options.Uptime())
-	u.listFailed = err != nil
+	u.listGuard.endRead(err == nil, u.options.Uptime())
+	u.listReadFailed = err != nil
 	if err != nil {
 		return change, err
 	}
-	u.listedAt = time.Now()
-	u.heard = sent
+	u.listReadAt = time.Now()
+	u.pendingListTime = sent
 	if change.Restored {
-		u.takeRestored()
+		u.handleRestored()
 	}
 	return change, nil
 }
 
-// takeRestored takes in that the store has come back from an older copy: what this host wrote since is gone there.
-func (s *Source) takeRestored() {
+// handleRestored handles a restore of the store from an older backup, which lacks what this host
+// has written since.
+func (s *Source) handleRestored() {
 	logrus.Info("fleet: The store has come back from an older copy. What hosts wrote is written again.")
-	s.written.clear()
-	s.restoredOnce()
+	s.knownNotices.clear()
+	s.notifyRestored()
 }
 
-// hand returns a change that the host above told, and whether there is one. That nothing has changed
-// holds at once; a change only once it has been taken in.
-func (u upstreams) hand(t told) (change traffic.UpstreamChange, news bool) {
-	u.heard = t.heard
-	if !t.change.Whole && len(t.change.Entries) == 0 {
-		u.takenIn()
-		return t.change, false
+// receive returns a change received from the parent, and whether it contains anything. An unchanged
+// list is valid at once, a change only after it has been applied.
+func (u upstreams) receive(update upstreamUpdate) (change traffic.UpstreamChange, changed bool) {
+	u.pendingListTime = update.asOf
+	if !update.change.Whole && len(update.change.Entries) == 0 {
+		u.confirmApplied()
+		return update.change, false
 	}
-	return t.change, true
+	return update.change, true
 }
 
-// takenIn takes note, for those below, that what was handed on last has been taken in. Said
-// sooner, a follower would take its old list for a new one; if the hosts were then cut off
-// from each other, it would send requests to upstreams that had left.
-func (u upstreams) takenIn() {
-	if u.heard == neverHeard {
+// confirmApplied makes the last returned change visible to followers as applied. If it were done
+// sooner, a follower would take its old list for a new one; if the hosts were then disconnected, it
+// would send requests to upstreams that had left.
+func (u upstreams) confirmApplied() {
+	if u.pendingListTime == unknownTime {
 		return
 	}
-	heard := u.heard
-	u.heard = neverHeard
-	if int64(heard) <= u.listHeard.Load() {
-		// The host above is behind this one. Taken over, an older moment is news for those below; two
-		// hosts that follow each other would tell theirs to and fro without a pause.
+	listTime := u.pendingListTime
+	u.pendingListTime = unknownTime
+	if int64(listTime) <= u.listTime.Load() {
+		// The parent's list is older than this host's. An older time would count as an update for
+		// the followers, and two hosts that follow each other would exchange their times in a busy
+		// loop.
 		return
 	}
-	u.heardList(heard)
+	u.setListTime(listTime)
 	u.refreshed.raise()
 }
