--- a/jackdawd/internal/fleet/exchange.go
+++ b/jackdawd/internal/fleet/exchange.go
@@ -51,8 +51,9 @@
 // FailureScores provides failure scores of upstreams, keyed by the short hashes of their
 // identifiers.
 type FailureScores interface {
-	// Scores returns this host's own scores; TakeScores sets the sum of all other hosts' scores.
+	// Scores returns this host's own scores.
 	Scores() map[uint32]float64
+	// TakeScores sets the sum of all other hosts' scores.
 	TakeScores(others map[uint32]float64)
 }
 
--- a/jackdawd/internal/fleet/quarantine.go
+++ b/jackdawd/internal/fleet/quarantine.go
@@ -38,8 +38,9 @@
 	// Merge adds the records of other hosts.
 	Merge(now time.Time, records []quarantine.Record)
 	// Since returns the records with at least the given number of crashes that changed after a
-	// position, and the position after them; News reports whether there are any.
+	// position, and the position after them.
 	Since(now time.Time, p quarantine.Position, minCrashes int) ([]quarantine.Record, quarantine.Position)
+	// News reports whether there are such records.
 	News(p quarantine.Position, minCrashes int) bool
 	// Answered records that a request was answered and so does not crash upstreams.
 	Answered(now time.Time, f quarantine.Fingerprint)
