--- a/soak/internal/cmd/cmd.go
+++ b/soak/internal/cmd/cmd.go
@@ -15,14 +15,14 @@
 	"jackdawhinge/soak/internal/verdict"
 )
 
-// errBroken says that a promise was broken; what, has been told.
-var errBroken = errors.New("promises were broken")
+// errViolations reports that a run had violations, which are already printed.
+var errViolations = errors.New("promises were broken")
 
 const (
-	defaultFaults    = 12 * time.Second
-	defaultHosts     = 3
-	defaultUpstreams = 6
-	defaultCallers   = 12
+	defaultFaultDuration = 12 * time.Second
+	defaultHosts         = 3
+	defaultUpstreams     = 6
+	defaultCallers       = 12
 )
 
 // Main runs the command line and returns its exit code.
@@ -44,18 +44,18 @@
 		Short: "Play seeds with the daemon's binary; settings and logs go into the folder",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			broken := false
-			for _, seed := range chosen(first, seeds, regressions) {
-				one := o
-				one.Seed, one.Program, one.Dir = seed, args[0], filepath.Join(args[1], fmt.Sprintf("seed-%d", seed))
-				good, err := play(cmd.OutOrStdout(), one)
+			violated := false
+			for _, seed := range selectSeeds(first, seeds, regressions) {
+				seedOptions := o
+				seedOptions.Seed, seedOptions.Program, seedOptions.Dir = seed, args[0], filepath.Join(args[1], fmt.Sprintf("seed-%d", seed))
+				ok, err := runSeed(cmd.OutOrStdout(), seedOptions)
 				if err != nil {
 					return err
 				}
-				broken = broken || !good
+				violated = violated || !ok
 			}
-			if broken {
-				return errBroken
+			if violated {
+				return errViolations
 			}
 			return nil
 		},
@@ -63,16 +63,16 @@
 	cmd.Flags().BoolVar(&regressions, "regressions", false, "play the seeds that have failed once instead")
 	cmd.Flags().Uint64Var(&first, "seed", 1, "the first seed")
 	cmd.Flags().Uint64Var(&seeds, "seeds", 1, "how many seeds, one after the other")
-	cmd.Flags().DurationVar(&o.Faults, "faults", defaultFaults, "how long faults are injected")
+	cmd.Flags().DurationVar(&o.FaultDuration, "faults", defaultFaultDuration, "how long faults are injected")
 	cmd.Flags().IntVar(&o.Hosts, "hosts", defaultHosts, "how many hosts")
 	cmd.Flags().IntVar(&o.Upstreams, "upstreams", defaultUpstreams, "how many upstreams")
 	cmd.Flags().IntVar(&o.Callers, "callers", defaultCallers, "how many callers")
-	cmd.Flags().StringSliceVar(&o.Only, "only", nil, "the kinds of faults to play, all if none are named; a name that is none, as in --only none, plays no fault")
+	cmd.Flags().StringSliceVar(&o.FaultKinds, "only", nil, "the kinds of faults to play, all if none are named; a name that is none, as in --only none, plays no fault")
 	return cmd
 }
 
-// chosen returns the seeds to play.
-func chosen(first, seeds uint64, regressions bool) []uint64 {
+// selectSeeds returns the seeds to run: the regressions, or a range from first.
+func selectSeeds(first, seeds uint64, regressions bool) []uint64 {
 	var out []uint64
 	if regressions {
 		for _, r := range plan.Regressions() {
@@ -86,8 +86,9 @@
 	return out
 }
 
-// play plays one seed, prints its verdict and reports whether all promises were kept.
-func play(w io.Writer, o rig.Options) (bool, error) {
+// runSeed runs the plan of one seed, prints the violations and a summary, and reports whether there
+// were none.
+func runSeed(w io.Writer, o rig.Options) (bool, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return false, err
 	}
@@ -97,7 +98,7 @@
 	}
 	served := 0
 	for _, e := range record.Exchanges {
-		if e.Status == 200 && e.Whole {
+		if e.Status == 200 && e.Complete {
 			served++
 		}
 	}
@@ -108,7 +109,7 @@
 		}
 	}
 	_, err = fmt.Fprintf(w, "seed %d: %d promises broken; %d requests, %d served, %d runs, %d faults\n",
-		o.Seed, len(violations), len(record.Exchanges), served, len(record.Runs), len(o.Plan()))
+		o.Seed, len(violations), len(record.Exchanges), served, len(record.Executions), len(o.Plan()))
 	return len(violations) == 0, err
 }
 
@@ -120,7 +121,7 @@
 		Short: "Show the faults of a seed",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, f := range plan.Draw(seed, faults) {
+			for _, f := range plan.Generate(seed, faults) {
 				if _, err := fmt.Fprintln(cmd.OutOrStdout(), f); err != nil {
 					return err
 				}
@@ -129,6 +130,6 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "the seed")
-	cmd.Flags().DurationVar(&faults, "faults", defaultFaults, "how long faults are injected")
+	cmd.Flags().DurationVar(&faults, "faults", defaultFaultDuration, "how long faults are injected")
 	return cmd
 }
--- a/soak/internal/plan/doc.go
+++ b/soak/internal/plan/doc.go
@@ -1,2 +1,4 @@
-// Package plan draws the faults of a run from a seed: one seed gives one plan.
+// Package plan generates the faults of a soak run from a seed, always the same ones for the same
+// seed, and lists the seeds of past failures. The soak command prints plans, and package rig
+// injects them.
 package plan
--- a/soak/internal/plan/plan.go
+++ b/soak/internal/plan/plan.go
@@ -8,116 +8,137 @@
 	"time"
 )
 
-// A Kind is a kind of fault, or of work that is done while the system runs.
+// A Kind is a kind of fault, or of an operator's change, that a run injects.
 type Kind string
 
-// The kinds.
+// The kinds; the values are those of the flag --only.
 const (
-	PauseHost     Kind = "pause-host"
-	KillHost      Kind = "kill-host"
-	StopHost      Kind = "stop-host"
-	HangUp        Kind = "hang-up"
-	StoreFails    Kind = "store-fails"
-	StoreLimits   Kind = "store-limits"
-	StoreSilent   Kind = "store-silent"
-	StoreTorn     Kind = "store-torn"
-	StoreSlow     Kind = "store-slow"
-	StoreForgets  Kind = "store-forgets"
-	CutStore      Kind = "cut-store"
-	CutOneWay     Kind = "cut-store-one-way"
-	ResetStore    Kind = "reset-store"
+	// PauseHost stops a host with SIGSTOP for the duration.
+	PauseHost Kind = "pause-host"
+	// KillHost kills a host, and StopHost stops it gracefully; the platform restarts both.
+	KillHost Kind = "kill-host"
+	StopHost Kind = "stop-host"
+	// HangUp makes a host reload its settings with SIGHUP.
+	HangUp Kind = "hang-up"
+	// StoreFails answers 503, StoreLimits 429, StoreSilent nothing, StoreTorn half a body.
+	StoreFails  Kind = "store-fails"
+	StoreLimits Kind = "store-limits"
+	StoreSilent Kind = "store-silent"
+	StoreTorn   Kind = "store-torn"
+	// StoreSlow delays the responses of the store.
+	StoreSlow Kind = "store-slow"
+	// StoreForgets drops the history of the store.
+	StoreForgets Kind = "store-forgets"
+	// CutStore blocks the connections of a host to the store, CutOneWay only the responses.
+	CutStore  Kind = "cut-store"
+	CutOneWay Kind = "cut-store-one-way"
+	// ResetStore resets the connections of a host to the store.
+	ResetStore Kind = "reset-store"
+	// DelayUpstream, CutUpstream and ResetUpstream delay, block and reset the connections of an
+	// upstream.
 	DelayUpstream Kind = "delay-upstream"
 	CutUpstream   Kind = "cut-upstream"
 	ResetUpstream Kind = "reset-upstream"
+	// CrashUpstream, DrainUpstream and ShedUpstream crash, drain and overload an upstream.
 	CrashUpstream Kind = "crash-upstream"
 	DrainUpstream Kind = "drain-upstream"
 	ShedUpstream  Kind = "shed-upstream"
-	Garble        Kind = "garble-upstream"
-	HangUpstream  Kind = "hang-upstream"
-	AddRoute      Kind = "add-route"
-	RevokeKey     Kind = "revoke-key"
-	LoseUpstream  Kind = "lose-upstream"
-	LoseStore     Kind = "lose-store"
-	FlapUpstream  Kind = "flap-upstream"
-	DropIdle      Kind = "drop-idle"
-	RestoreStore  Kind = "restore-store"
+	// Garble makes an upstream send truncated and duplicate responses, HangUpstream none.
+	Garble       Kind = "garble-upstream"
+	HangUpstream Kind = "hang-upstream"
+	// AddRoute and RevokeKey change the configuration.
+	AddRoute  Kind = "add-route"
+	RevokeKey Kind = "revoke-key"
+	// LoseUpstream and LoseStore delay some data as packet loss does.
+	LoseUpstream Kind = "lose-upstream"
+	LoseStore    Kind = "lose-store"
+	// FlapUpstream crashes and restarts an upstream several times.
+	FlapUpstream Kind = "flap-upstream"
+	// DropIdle resets idle connections of an upstream when they are used again.
+	DropIdle Kind = "drop-idle"
+	// RestoreStore restores the store from an older snapshot.
+	RestoreStore Kind = "restore-store"
 )
 
-// kinds are all of them, in the order in which they are drawn.
-var kinds = []Kind{
+// drawnKinds are all kinds but RestoreStore, which has its own random stream. Their order and
+// number decide the plan of a seed.
+var drawnKinds = []Kind{
 	PauseHost, KillHost, StopHost, HangUp, StoreFails, StoreLimits, StoreSilent, StoreTorn, StoreSlow, StoreForgets,
 	CutStore, CutOneWay, ResetStore, DelayUpstream, CutUpstream, ResetUpstream, CrashUpstream, DrainUpstream, ShedUpstream, Garble,
 	HangUpstream, AddRoute, RevokeKey, LoseUpstream, LoseStore, FlapUpstream, DropIdle,
 }
 
-// A Fault is one fault of a plan.
+// A Fault is one fault of a plan; Start is relative to the start of the plan.
 type Fault struct {
-	Kind Kind
-	At   time.Duration
-	For  time.Duration
-	// Target picks the host or upstream, modulo how many there are.
+	Kind     Kind
+	Start    time.Duration
+	Duration time.Duration
+	// Target is the index of the host or upstream, modulo their number.
 	Target int
 }
 
-// End returns when the fault is over.
-func (f Fault) End() time.Duration { return f.At + f.For }
+// End returns when the fault is over, relative to the start of the plan.
+func (f Fault) End() time.Duration { return f.Start + f.Duration }
 
-// String returns the fault as one line.
+// String returns the fault as one line of text.
 func (f Fault) String() string {
-	return fmt.Sprintf("%6.2fs %-18s target %d for %s", f.At.Seconds(), f.Kind, f.Target, f.For)
+	return fmt.Sprintf("%6.2fs %-18s target %d for %s", f.Start.Seconds(), f.Kind, f.Target, f.Duration)
 }
 
 const (
-	// firstFault leaves the hosts time to read the configuration.
-	firstFault = time.Second
-	// every is the mean time between faults: a few are always in force at once.
-	every = 600 * time.Millisecond
-	// shortest and longest bound how long a fault lasts.
-	shortest = 300 * time.Millisecond
-	longest  = 3 * time.Second
-	// seriesShare is how many faults in a hundred come twice, one right after the other.
-	seriesShare = 25
-	targets     = 64
-	// restoredShare is how many plans in a hundred have the store come back from an older copy.
-	restoredShare = 50
-	// restoreStream is the random stream of these restores, which leaves the other faults of a seed as they were.
+	// firstFaultStart gives the hosts time to read the configuration.
+	firstFaultStart = time.Second
+	// meanFaultInterval is the mean time between the starts of faults; it is short enough that a
+	// few overlap.
+	meanFaultInterval = 600 * time.Millisecond
+	// minFaultDuration and maxFaultDuration bound the duration of a fault.
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 3 * time.Second
+	// repeatPercent is the percentage of faults that are repeated soon after they end.
+	repeatPercent = 25
+	targetRange   = 64
+	// restorePercent is the percentage of plans that restore the store from an older snapshot.
+	restorePercent = 50
+	// restoreStream is a separate random stream for restores, so that they do not change the other
+	// faults of a seed.
 	restoreStream = 1
 )
 
-// Draw returns the plan of a seed for a run of faults of a length.
-func Draw(seed uint64, length time.Duration) []Fault {
+// Generate returns the plan of a seed, sorted by start, for a fault phase of the given length.
+func Generate(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, seed))
 	var faults []Fault
-	at := firstFault
+	at := firstFaultStart
 	for at < length {
 		f := Fault{
-			Kind: kinds[random.IntN(len(kinds))], At: at, Target: random.IntN(targets),
-			For: shortest + time.Duration(random.Int64N(int64(longest-shortest))),
+			Kind: drawnKinds[random.IntN(len(drawnKinds))], Start: at, Target: random.IntN(targetRange),
+			Duration: minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration))),
 		}
-		f.For = min(f.For, length-at)
+		f.Duration = min(f.Duration, length-at)
 		faults = append(faults, f)
-		if random.IntN(100) < seriesShare {
-			f.At = f.End() + shortest
-			f.For = min(f.For, max(length-f.At, 0))
+		if random.IntN(100) < repeatPercent {
+			f.Start = f.End() + minFaultDuration
+			f.Duration = min(f.Duration, max(length-f.Start, 0))
 			faults = append(faults, f)
 		}
-		at += time.Duration(random.Int64N(int64(2 * every)))
+		at += time.Duration(random.Int64N(int64(2 * meanFaultInterval)))
 	}
-	faults = append(faults, drawRestores(seed, length)...)
-	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-	return slices.DeleteFunc(faults, func(f Fault) bool { return f.At >= length })
+	faults = append(faults, generateRestores(seed, length)...)
+	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
+	return slices.DeleteFunc(faults, func(f Fault) bool { return f.Start >= length })
 }
 
-// drawRestores returns the restores of the store in the plan of a seed: none, one, or one right after the other.
-func drawRestores(seed uint64, length time.Duration) []Fault {
+// generateRestores returns the store restores in the plan of a seed: none, one, or two with a short
+// time between.
+func generateRestores(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, restoreStream))
-	if length <= firstFault || random.IntN(100) >= restoredShare {
+	if length <= firstFaultStart || random.IntN(100) >= restorePercent {
 		return nil
 	}
-	f := Fault{Kind: RestoreStore, At: firstFault + time.Duration(random.Int64N(int64(length-firstFault))), For: shortest}
+	f := Fault{Kind: RestoreStore, Start: firstFaultStart + time.Duration(random.Int64N(int64(length-firstFaultStart))), Duration: minFaultDuration}
 	faults := []Fault{f}
-	if random.IntN(100) < seriesShare {
-		f.At = f.End() + time.Duration(random.Int64N(int64(longest)))
+	if random.IntN(100) < repeatPercent {
+		f.Start = f.End() + time.Duration(random.Int64N(int64(maxFaultDuration)))
 		faults = append(faults, f)
 	}
 	return slices.DeleteFunc(faults, func(f Fault) bool { return f.End() > length })
--- a/soak/internal/verdict/checks.go
+++ b/soak/internal/verdict/checks.go
@@ -7,48 +7,49 @@
 	"time"
 )
 
-// The bounds of the promises; they are those of the settings that the hosts get.
+// The bounds of the guarantees. Those that hosts have settings for are the same there.
 const (
-	// Settle is how long after a disturbance bounds hold again.
-	Settle = 3 * time.Second
-	// InForce is how long an old configuration may be acted on.
-	InForce = 2 * time.Second
-	// Revoke is how long a revoked key may be honored, by any host.
-	Revoke = 5 * time.Second
-	// Drain is how long a leaving upstream may be sent work.
-	Drain = 2 * time.Second
-	// slack is added to each bound for the machine that all processes share.
-	slack = 500 * time.Millisecond
-	// RetryRatio and retrySlack bound the repeats of all hosts together.
-	RetryRatio = 0.2
-	retrySlack = 3
-	// Recover is how long after the last fault the system may take to serve again.
-	Recover = 6 * time.Second
-	// LoadMultiple and loadSlack bound the requests of an upstream by the mean of its pool;
-	// some may find more, as hosts know of each other's a second late.
-	LoadMultiple = 2
-	loadSlack    = 3
-	mostOver     = 20
-	overShare    = 0.03
-	// Acquaint is how long after the last fault hosts may take to know each other: one that started without the store
-	// tries again to write its notice within 4.5 s, and readers read the list of hosts each 16.5 s at most.
-	Acquaint = 24 * time.Second
-	// servedShare is the share that must then be served.
-	servedShare = 0.95
+	// SettleTime is how long after a fault the time bounds apply again.
+	SettleTime = 3 * time.Second
+	// MaxConfigDelay is how long a host may act on an outdated configuration.
+	MaxConfigDelay = 2 * time.Second
+	// MaxRevocationDelay is how long any host may accept a revoked key.
+	MaxRevocationDelay = 5 * time.Second
+	// MaxDrainDelay is how long a draining upstream may get new requests.
+	MaxDrainDelay = 2 * time.Second
+	// timingSlack is added to time bounds, as all processes share one machine.
+	timingSlack = 500 * time.Millisecond
+	// MaxRetryRatio and retryBurst bound the retries of all hosts together.
+	MaxRetryRatio = 0.2
+	retryBurst    = 3
+	// MaxRecoveryTime is how long the system may take to serve again after the last fault.
+	MaxRecoveryTime = 6 * time.Second
+	// LoadMultiple and loadAllowance bound the load of an upstream by the mean of its pool. A small
+	// ratio of requests may exceed it, as hosts learn of each other's requests a second late.
+	LoadMultiple      = 2
+	loadAllowance     = 3
+	minOverLimit      = 20
+	maxOverLimitRatio = 0.03
+	// MaxConvergenceTime is how long the views of hosts may take to converge after the last fault:
+	// a host that started without the store retries to write its notice within 4.5 s, and readers
+	// read the list of hosts at intervals of at most 16.5 s.
+	MaxConvergenceTime = 24 * time.Second
+	// minServedRatio is the ratio of requests that must be served after MaxRecoveryTime.
+	minServedRatio = 0.95
 )
 
-// A Violation is a promise that was broken.
+// A Violation is a guarantee that was broken, and how.
 type Violation struct {
-	Promise string
-	Detail  string
+	Guarantee string
+	Detail    string
 }
 
-// String returns promise and detail.
-func (v Violation) String() string { return v.Promise + ": " + v.Detail }
+// String returns the guarantee and the detail.
+func (v Violation) String() string { return v.Guarantee + ": " + v.Detail }
 
-// Check returns the promises that a record breaks.
+// Check returns all violations of the guarantees in a record.
 func Check(r *Record) []Violation {
-	checks := []func(*Record) []Violation{wholeAnswers, atMostOnce, truthfulRefusals, retries, drained, inForce, neverBack, revoked, recovered, stoppedCleanly, bounded, acquainted}
+	checks := []func(*Record) []Violation{checkResponses, checkAtMostOnce, checkRefusals, checkRetries, checkDrain, checkRouteAdded, checkNoRollback, checkRevocation, checkRecovery, checkGracefulStop, checkLoadBound, checkConvergence}
 	var all []Violation
 	for _, check := range checks {
 		all = append(all, check(r)...)
@@ -56,131 +57,131 @@
 	return all
 }
 
-// wholeAnswers: a success is the whole answer to its own request.
-func wholeAnswers(r *Record) (out []Violation) {
+// checkResponses checks that each complete 200 response is the full response to its own request.
+func checkResponses(r *Record) (out []Violation) {
 	for _, e := range r.Exchanges {
-		if e.Status != http.StatusOK || e.Route == Probe || !e.Whole {
+		if e.Status != http.StatusOK || e.Route == Probe || !e.Complete {
 			continue
 		}
-		right := strings.HasSuffix(e.Body, e.Want)
+		matches := strings.HasSuffix(e.Body, e.WantBody)
 		if e.Route.Streams() {
-			right = e.Body == e.Want
+			matches = e.Body == e.WantBody
 		}
-		if e.AnswerID != e.ID || !right {
-			out = append(out, Violation{"whole answers", fmt.Sprintf("%s got an answer to %q: %.80q where %.80q was due", e.ID, e.AnswerID, e.Body, e.Want)})
+		if e.ResponseID != e.ID || !matches {
+			out = append(out, Violation{"whole answers", fmt.Sprintf("%s got an answer to %q: %.80q where %.80q was due", e.ID, e.ResponseID, e.Body, e.WantBody)})
 		}
 	}
 	return out
 }
 
-func runsByID(r *Record) map[string][]Run {
-	runs := map[string][]Run{}
-	for _, run := range r.Runs {
-		runs[run.ID] = append(runs[run.ID], run)
+func executionsByID(r *Record) map[string][]Execution {
+	executions := map[string][]Execution{}
+	for _, execution := range r.Executions {
+		executions[execution.ID] = append(executions[execution.ID], execution)
 	}
-	return runs
+	return executions
 }
 
-// atMostOnce: what must not run twice does not.
-func atMostOnce(r *Record) (out []Violation) {
-	runs := runsByID(r)
+// checkAtMostOnce checks that requests of at-most-once routes are not executed twice.
+func checkAtMostOnce(r *Record) (out []Violation) {
+	executions := executionsByID(r)
 	for _, e := range r.Exchanges {
-		if n := len(runs[e.ID]); e.Route.Once() && n > 1 {
+		if n := len(executions[e.ID]); e.Route.AtMostOnce() && n > 1 {
 			out = append(out, Violation{"at most once", fmt.Sprintf("%s (%s) ran %d times", e.ID, e.Route, n)})
 		}
 	}
 	return out
 }
 
-// truthfulRefusals: what is refused as not run was not run.
-func truthfulRefusals(r *Record) (out []Violation) {
-	runs := runsByID(r)
+// checkRefusals checks that requests refused as not executed were not executed.
+func checkRefusals(r *Record) (out []Violation) {
+	executions := executionsByID(r)
 	for _, e := range r.Exchanges {
-		if e.Route.Once() && promised(e.Status) && len(runs[e.ID]) > 0 {
+		if e.Route.AtMostOnce() && claimsNotExecuted(e.Status) && len(executions[e.ID]) > 0 {
 			out = append(out, Violation{"not run is true", fmt.Sprintf("%s (%s) was refused with %d and ran", e.ID, e.Route, e.Status)})
 		}
 	}
 	return out
 }
 
-// retries: repeats stay within the ratio.
-func retries(r *Record) []Violation {
-	runs := runsByID(r)
-	repeats := 0
-	for _, all := range runs {
-		repeats += len(all) - 1
+// checkRetries checks that the number of retries stays within the retry budget.
+func checkRetries(r *Record) []Violation {
+	executions := executionsByID(r)
+	retries := 0
+	for _, sameID := range executions {
+		retries += len(sameID) - 1
 	}
-	// Bursts are allowed to each host, in each of its lives and for each of two pools.
-	lives := map[[2]int]bool{}
+	// Each process of a host has its own burst for each of the two pools.
+	processes := map[[2]int]bool{}
 	for _, e := range r.Exchanges {
-		lives[[2]int{e.Host, e.Life}] = true
+		processes[[2]int{e.Host, e.Incarnation}] = true
 	}
-	most := RetryRatio*float64(len(r.Exchanges)) + retrySlack*2*float64(len(lives))
-	if float64(repeats) > most {
-		return []Violation{{"retry budget", fmt.Sprintf("%d repeats of %d requests", repeats, len(r.Exchanges))}}
+	maxRetries := MaxRetryRatio*float64(len(r.Exchanges)) + retryBurst*2*float64(len(processes))
+	if float64(retries) > maxRetries {
+		return []Violation{{"retry budget", fmt.Sprintf("%d repeats of %d requests", retries, len(r.Exchanges))}}
 	}
 	return nil
 }
 
-// drained: a leaving upstream gets no new work, from hosts that can read the store.
-func drained(r *Record) (out []Violation) {
-	hosts := map[string]Exchange{}
+// checkDrain checks that hosts that can read the store send no new requests to a draining upstream.
+func checkDrain(r *Record) (out []Violation) {
+	exchanges := map[string]Exchange{}
 	for _, e := range r.Exchanges {
-		hosts[e.ID] = e
+		exchanges[e.ID] = e
 	}
 	for _, c := range r.Changes {
-		if c.Upstream == "" {
+		if c.DrainingUpstream == "" {
 			continue
 		}
-		for _, run := range r.Runs {
-			e, known := hosts[run.ID]
-			late := run.At.Sub(c.At) - Drain
-			if run.Upstream == c.Upstream && known && late > slack && r.calm(e.Host, run.At, Settle+Drain) {
-				out = append(out, Violation{"drain", fmt.Sprintf("%s reached %s %s after it said that it leaves", e.ID, c.Upstream, run.At.Sub(c.At))})
+		for _, execution := range r.Executions {
+			e, known := exchanges[execution.ID]
+			late := execution.Started.Sub(c.At) - MaxDrainDelay
+			if execution.Upstream == c.DrainingUpstream && known && late > timingSlack && r.undisturbed(e.Host, execution.Started, SettleTime+MaxDrainDelay) {
+				out = append(out, Violation{"drain", fmt.Sprintf("%s reached %s %s after it said that it leaves", e.ID, c.DrainingUpstream, execution.Started.Sub(c.At))})
 			}
 		}
 	}
 	return out
 }
 
-// inForce: a route that was added is served by hosts that can read the store.
-func inForce(r *Record) (out []Violation) {
+// checkRouteAdded checks that hosts that can read the store serve an added route in time.
+func checkRouteAdded(r *Record) (out []Violation) {
 	for _, c := range r.Changes {
 		for _, e := range r.Exchanges {
-			if c.Number > 0 && e.Route == Probe && e.Number == c.Number && e.Status == http.StatusNotFound &&
-				e.Sent.Sub(c.At) > InForce+slack && r.calm(e.Host, e.Ended, Settle+InForce) {
-				out = append(out, Violation{"in force", fmt.Sprintf("host %d does not know route %d %s after it was added", e.Host, c.Number, e.Sent.Sub(c.At))})
+			if c.RouteNumber > 0 && e.Route == Probe && e.RouteNumber == c.RouteNumber && e.Status == http.StatusNotFound &&
+				e.Sent.Sub(c.At) > MaxConfigDelay+timingSlack && r.undisturbed(e.Host, e.Ended, SettleTime+MaxConfigDelay) {
+				out = append(out, Violation{"in force", fmt.Sprintf("host %d does not know route %d %s after it was added", e.Host, c.RouteNumber, e.Sent.Sub(c.At))})
 			}
 		}
 	}
 	return out
 }
 
-// neverBack: one process that has served a route does not forget it.
-func neverBack(r *Record) (out []Violation) {
-	type life struct{ host, life, number int }
-	served := map[life]time.Time{}
+// checkNoRollback checks that a process that has served an added route goes on knowing it.
+func checkNoRollback(r *Record) (out []Violation) {
+	type processRoute struct{ host, incarnation, routeNumber int }
+	served := map[processRoute]time.Time{}
 	for _, e := range r.Exchanges {
-		key := life{e.Host, e.Life, e.Number}
+		key := processRoute{e.Host, e.Incarnation, e.RouteNumber}
 		if at, ok := served[key]; e.Route == Probe && e.Status == http.StatusOK && (!ok || e.Ended.Before(at)) {
 			served[key] = e.Ended
 		}
 	}
 	for _, e := range r.Exchanges {
-		at, ok := served[life{e.Host, e.Life, e.Number}]
+		at, ok := served[processRoute{e.Host, e.Incarnation, e.RouteNumber}]
 		if e.Route == Probe && e.Status == http.StatusNotFound && ok && e.Sent.After(at) {
-			out = append(out, Violation{"never back", fmt.Sprintf("host %d forgot route %d", e.Host, e.Number)})
+			out = append(out, Violation{"never back", fmt.Sprintf("host %d forgot route %d", e.Host, e.RouteNumber)})
 		}
 	}
 	return out
 }
 
-// revoked: a key is not honored for longer than the bound, by any host.
-func revoked(r *Record) (out []Violation) {
-	runs := runsByID(r)
+// checkRevocation checks that no host accepts a revoked key after MaxRevocationDelay.
+func checkRevocation(r *Record) (out []Violation) {
+	executions := executionsByID(r)
 	for _, c := range r.Changes {
 		for _, e := range r.Exchanges {
-			if c.Key != "" && e.Key == c.Key && e.Sent.Sub(c.At) > Revoke && len(runs[e.ID]) > 0 {
+			if c.RevokedKey != "" && e.Key == c.RevokedKey && e.Sent.Sub(c.At) > MaxRevocationDelay && len(executions[e.ID]) > 0 {
 				out = append(out, Violation{"revocation", fmt.Sprintf("%s ran %s after its key was revoked", e.ID, e.Sent.Sub(c.At))})
 			}
 		}
@@ -188,30 +189,30 @@
 	return out
 }
 
-// recovered: after the last fault requests are served again.
-func recovered(r *Record) []Violation {
-	asked, served := 0, 0
+// checkRecovery checks that requests are served again after the last fault.
+func checkRecovery(r *Record) []Violation {
+	sent, served := 0, 0
 	for _, e := range r.Exchanges {
-		if e.Sent.Sub(r.FaultEnd) > Recover && e.Route != Probe && e.Status != http.StatusUnauthorized {
-			asked++
-			if e.Status == http.StatusOK && e.Whole {
+		if e.Sent.Sub(r.FaultEnd) > MaxRecoveryTime && e.Route != Probe && e.Status != http.StatusUnauthorized {
+			sent++
+			if e.Status == http.StatusOK && e.Complete {
 				served++
 			}
 		}
 	}
-	if asked == 0 || float64(served) < servedShare*float64(asked) {
-		return []Violation{{"recovery", fmt.Sprintf("%d of %d requests are served after the last fault", served, asked)}}
+	if sent == 0 || float64(served) < minServedRatio*float64(sent) {
+		return []Violation{{"recovery", fmt.Sprintf("%d of %d requests are served after the last fault", served, sent)}}
 	}
 	return nil
 }
 
-// stoppedCleanly: a graceful stop cuts off no request that was sent before it, unless
-// another fault came in between.
-func stoppedCleanly(r *Record) (out []Violation) {
-	for _, s := range r.Stops {
+// checkGracefulStop checks that a graceful stop cuts off no request that was sent before it, unless
+// another fault occurred around the stop.
+func checkGracefulStop(r *Record) (out []Violation) {
+	for _, s := range r.GracefulStops {
 		for _, e := range r.Exchanges {
 			inProgress := e.Host == s.Host && e.Sent.Before(s.From) && e.Ended.After(s.From)
-			if inProgress && !e.Whole && r.calmBut(s, e.Ended) {
+			if inProgress && !e.Complete && r.undisturbedExcept(s, e.Ended) {
 				out = append(out, Violation{"graceful stop", fmt.Sprintf("%s was cut off", e.ID)})
 			}
 		}
@@ -219,26 +220,28 @@
 	return out
 }
 
-// calmBut reports whether nothing but a stop disturbed its host until a moment.
-func (r *Record) calmBut(stop Span, at time.Time) bool {
-	for _, d := range r.Disturbed {
-		if d != stop && (d.Host == stop.Host || d.Host < 0) && d.From.Before(at) && d.To.After(stop.From.Add(-Settle)) {
+// undisturbedExcept reports whether, from SettleTime before a stop until a time, no fault but the
+// stop affected its host, and none affected an upstream.
+func (r *Record) undisturbedExcept(stop Interval, at time.Time) bool {
+	for _, d := range r.HostFaults {
+		if d != stop && (d.Host == stop.Host || d.Host < 0) && d.From.Before(at) && d.To.After(stop.From.Add(-SettleTime)) {
 			return false
 		}
 	}
-	for _, u := range r.Upset {
-		if u.From.Before(at) && u.To.After(stop.From.Add(-Settle)) {
+	for _, u := range r.UpstreamFaults {
+		if u.From.Before(at) && u.To.After(stop.From.Add(-SettleTime)) {
 			return false
 		}
 	}
 	return true
 }
 
-// acquainted: after the last fault all hosts know each other and how often the store was restored.
-func acquainted(r *Record) (out []Violation) {
-	for n, known := range r.Known {
-		if !r.agrees(known) {
-			out = append(out, Violation{"hosts agree", fmt.Sprintf("host %d knows %d of %d hosts and %d of %d restores", n, known.Hosts, r.Hosts, known.Era, r.Era)})
+// checkConvergence checks that all hosts know each other and the number of store restores at the
+// end of the run.
+func checkConvergence(r *Record) (out []Violation) {
+	for n, view := range r.HostViews {
+		if !r.isCurrent(view) {
+			out = append(out, Violation{"hosts agree", fmt.Sprintf("host %d knows %d of %d hosts and %d of %d restores", n, view.Hosts, r.Hosts, view.StoreRestores, r.StoreRestores)})
 		}
 	}
 	return out
--- a/soak/internal/verdict/record.go
+++ b/soak/internal/verdict/record.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// A Route is a kind of request that callers make.
+// A Route is the name of a route that callers send requests to.
 type Route string
 
-// The routes.
+// The routes. Probe stands for the routes added during the run.
 const (
 	Notice Route = "notice"
 	Scan   Route = "scan"
@@ -19,126 +19,131 @@
 	Probe  Route = "probe"
 )
 
-// Once reports whether requests of the route run at most once.
-func (r Route) Once() bool { return r == Notice || r == Sort }
+// AtMostOnce reports whether requests of the route must be executed at most once.
+func (r Route) AtMostOnce() bool { return r == Notice || r == Sort }
 
-// Streams reports whether answers are streams.
+// Streams reports whether responses of the route are streams.
 func (r Route) Streams() bool { return r == Sort || r == Digest }
 
-// An Exchange is one request of a caller and what came of it.
+// An Exchange is one request of a caller and its outcome.
 type Exchange struct {
 	ID    string
 	Route Route
 	Host  int
-	// Life counts the host's processes.
-	Life  int
-	Key   string
-	Sent  time.Time
-	Ended time.Time
-	// Status is 0 if no answer came.
-	Status   int
-	AnswerID string
-	Body     string
-	// Want is the whole body: exact for streams, the end of it otherwise.
-	Want string
-	// Whole is set if the answer ended as it should.
-	Whole bool
-	// Number is the route that a probe asks for.
-	Number int
+	// Incarnation is the number of the host's process, from 1, when the request was sent.
+	Incarnation int
+	Key         string
+	Sent        time.Time
+	Ended       time.Time
+	// Status is 0 if there was no response.
+	Status     int
+	ResponseID string
+	Body       string
+	// WantBody is the expected body of a stream, and the expected end of any other body.
+	WantBody string
+	// Complete is set if the body was read to its end without an error.
+	Complete bool
+	// RouteNumber is the added route that a probe asks for.
+	RouteNumber int
 }
 
-// A Run is one request at an upstream.
-type Run struct {
+// An Execution is one request executed by an upstream.
+type Execution struct {
 	ID       string
 	Pool     string
 	Upstream string
-	At       time.Time
-	// Ended is zero for a run that did not end as it should.
+	Started  time.Time
+	// Ended is zero if the execution did not end normally.
 	Ended time.Time
 }
 
-// A Span is a time during which a promise with a bound does not hold.
-type Span struct {
+// An Interval is the time of a fault, in which time bounds do not apply.
+type Interval struct {
 	From, To time.Time
-	// Host is the host concerned, or -1 for all.
+	// Host is the index of the affected host, or -1 for all.
 	Host int
 }
 
-// A Change is something that operators or upstreams did, and when the store took it in.
+// A Change is a change of the configuration or of an upstream, and when it was written to the
+// store.
 type Change struct {
 	At time.Time
-	// Key is a key that was revoked, Number a route that was added, Upstream one that leaves.
-	Key      string
-	Number   int
-	Upstream string
+	// One of these is set: a key that was revoked, an added route, or an upstream that drains.
+	RevokedKey       string
+	RouteNumber      int
+	DrainingUpstream string
 }
 
-// Known is what a host knows of the fleet and the store.
-type Known struct {
-	// Hosts is how many hosts it knows, itself included; Era how often the store came back from an older copy.
-	Hosts int
-	Era   int64
+// HostView is what a host reports about the fleet and the store.
+type HostView struct {
+	// Hosts is the number of hosts that it knows, itself included; StoreRestores is how often the
+	// store was restored from a snapshot.
+	Hosts         int
+	StoreRestores int64
 }
 
-// A Record is everything that was seen in a run.
+// A Record is all that was observed in a run.
 type Record struct {
-	mu        sync.Mutex
-	Exchanges []Exchange
-	Runs      []Run
-	// Disturbed are the times at which hosts were paused, killed, stopped or unable to read the store.
-	Disturbed []Span
-	// Upset are the times at which upstreams were disturbed.
-	Upset []Span
-	// Stops are the graceful stops.
-	Stops    []Span
-	Changes  []Change
-	FaultEnd time.Time
-	End      time.Time
-	Hosts    int
-	// Known is what each host said at the end, Era how often the store came back from an older copy.
-	Known []Known
-	Era   int64
-	// PoolUpstreams is how many upstreams each pool has while none is disturbed.
+	mu         sync.Mutex
+	Exchanges  []Exchange
+	Executions []Execution
+	// HostFaults are the times in which hosts were paused, killed, stopped or unable to read the
+	// store.
+	HostFaults []Interval
+	// UpstreamFaults are the times in which upstreams were affected by a fault.
+	UpstreamFaults []Interval
+	// GracefulStops are the grace periods of stopped hosts.
+	GracefulStops []Interval
+	Changes       []Change
+	FaultEnd      time.Time
+	End           time.Time
+	Hosts         int
+	// HostViews are the views of all hosts at the end, StoreRestores how often the store was
+	// restored from a snapshot.
+	HostViews     []HostView
+	StoreRestores int64
+	// PoolUpstreams is the number of upstreams in each pool without faults.
 	PoolUpstreams int
 }
 
-// Add takes in an exchange.
-func (r *Record) Add(e Exchange) {
+// AddExchange records an exchange.
+func (r *Record) AddExchange(e Exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Exchanges = append(r.Exchanges, e)
 }
 
-// Disturb takes in a time at which a host, or all if it is -1, is disturbed.
-func (r *Record) Disturb(host int, from, to time.Time) {
+// AddHostFault records the time of a fault of a host, or of all if host is -1.
+func (r *Record) AddHostFault(host int, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Disturbed = append(r.Disturbed, Span{From: from, To: to, Host: host})
+	r.HostFaults = append(r.HostFaults, Interval{From: from, To: to, Host: host})
 }
 
-// Upsets takes in a time at which an upstream is disturbed.
-func (r *Record) Upsets(from, to time.Time) {
+// AddUpstreamFault records the time of a fault of an upstream.
+func (r *Record) AddUpstreamFault(from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Upset = append(r.Upset, Span{From: from, To: to, Host: -1})
+	r.UpstreamFaults = append(r.UpstreamFaults, Interval{From: from, To: to, Host: -1})
 }
 
-// Stop takes in a graceful stop.
-func (r *Record) Stop(host int, from, to time.Time) {
+// AddGracefulStop records the grace period of a stopped host.
+func (r *Record) AddGracefulStop(host int, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Stops = append(r.Stops, Span{From: from, To: to, Host: host})
+	r.GracefulStops = append(r.GracefulStops, Interval{From: from, To: to, Host: host})
 }
 
-// Change takes in a change.
-func (r *Record) Change(c Change) {
+// AddChange records a change.
+func (r *Record) AddChange(c Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Changes = append(r.Changes, c)
 }
 
-// promised reports whether a status says that the request was not and will not be run.
-func promised(status int) bool {
+// claimsNotExecuted reports whether a status says that the request was not and will not be
+// executed.
+func claimsNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -146,9 +151,10 @@
 	return false
 }
 
-// calm reports whether a host was undisturbed from a time before a moment until it.
-func (r *Record) calm(host int, at time.Time, before time.Duration) bool {
-	for _, s := range r.Disturbed {
+// undisturbed reports whether no fault affected a host from the duration before a time until that
+// time.
+func (r *Record) undisturbed(host int, at time.Time, before time.Duration) bool {
+	for _, s := range r.HostFaults {
 		if (s.Host == host || s.Host < 0) && s.From.Before(at) && s.To.After(at.Add(-before)) {
 			return false
 		}
@@ -156,9 +162,11 @@
 	return true
 }
 
-// Agree reports whether all hosts know all hosts and how often the store was restored.
-func (r *Record) Agree() bool {
-	return !slices.ContainsFunc(r.Known, func(k Known) bool { return !r.agrees(k) })
+// Converged reports whether all hosts know all hosts and the number of store restores.
+func (r *Record) Converged() bool {
+	return !slices.ContainsFunc(r.HostViews, func(v HostView) bool { return !r.isCurrent(v) })
 }
 
-func (r *Record) agrees(k Known) bool { return k.Hosts == r.Hosts && k.Era == r.Era }
+func (r *Record) isCurrent(v HostView) bool {
+	return v.Hosts == r.Hosts && v.StoreRestores == r.StoreRestores
+}
