--- a/jackdawd/internal/measure/doc.go
+++ b/jackdawd/internal/measure/doc.go
@@ -1,3 +1,4 @@
-// Package measure holds the benchmarks of the routing decision: small fake
-// engines on a clock of their own, with the real decision objects between.
+// Package measure compares routing policies in a simulation: fake engines and callers on a
+// simulated clock, with the real boards, queues and views of packages routing and queue in between.
+// It holds only benchmarks and a test of the quality of routing.
 package measure
