--- a/standin/network/doc.go
+++ b/standin/network/doc.go
@@ -1,3 +1,3 @@
-// Package network stands in for the network: connections in memory, so that
-// tests of many hosts run on the paused clock and can cut what they like.
+// Package network is an in-memory network for tests: many hosts run in one synctest bubble, with
+// its fake clock, and tests can kill, freeze and partition the processes behind addresses.
 package network
--- a/standin/platform/doc.go
+++ b/standin/platform/doc.go
@@ -1,3 +1,4 @@
-// Package platform stands in for the platform's log service and host list,
-// with the failures that tests ask for: outages, lost answers and trimming.
+// Package platform has in-memory stand-ins for the platform's log service and host list. Tests
+// inject the faults of the log service: outages, lost responses and trimmed streams. Tests use it
+// in-process, and the standin command serves it over HTTP.
 package platform
--- a/standin/platform/hosts.go
+++ b/standin/platform/hosts.go
@@ -6,18 +6,18 @@
 	"jackdawhinge/common/roster"
 )
 
-// A HostList is the platform's list of live and leaving hosts.
+// A HostList is a stand-in for the platform's list of live and draining hosts.
 type HostList struct {
 	mu   sync.Mutex
 	list roster.List
 }
 
-// NewHostList returns a list of the hosts given.
+// NewHostList returns a list of the given hosts, at version 1.
 func NewHostList(hosts ...roster.Host) *HostList {
 	return &HostList{list: roster.List{Version: 1, Hosts: hosts}}
 }
 
-// Put adds a host or replaces the one of its name.
+// Put adds a host, or replaces the one with the same name.
 func (h *HostList) Put(host roster.Host) {
 	h.Remove(host.Name)
 	h.mu.Lock()
@@ -26,7 +26,7 @@
 	h.list.Version++
 }
 
-// Remove takes a host off the list.
+// Remove removes a host from the list, if it is there.
 func (h *HostList) Remove(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -40,7 +40,7 @@
 	h.list.Version++
 }
 
-// List returns the list as it is now.
+// List returns a copy of the current list.
 func (h *HostList) List() roster.List {
 	h.mu.Lock()
 	defer h.mu.Unlock()
