--- a/capacity/internal/cmd/cmd.go
+++ b/capacity/internal/cmd/cmd.go
@@ -18,11 +18,11 @@
 	root.AddCommand(
 		&cobra.Command{
 			Use: "table BENCHMARKS PAGE", Short: "Write the tables worked out from benchmark output into the page", Args: cobra.ExactArgs(2),
-			RunE: func(_ *cobra.Command, args []string) error { return table(args[0], args[1]) },
+			RunE: func(_ *cobra.Command, args []string) error { return writeTables(args[0], args[1]) },
 		},
 		&cobra.Command{
 			Use: "plot BENCHMARKS FOLDER", Short: "Draw each slope", Args: cobra.ExactArgs(2),
-			RunE: func(_ *cobra.Command, args []string) error { return draw(args[0], args[1]) },
+			RunE: func(_ *cobra.Command, args []string) error { return plotFits(args[0], args[1]) },
 		},
 		&cobra.Command{
 			Use: "days JOURNAL FROM PAGE", Short: "Write the tables of the days measured since a time into the page", Args: cobra.ExactArgs(3),
@@ -35,16 +35,16 @@
 	return 0
 }
 
-func readSlopes(path string) ([]plan.Slope, error) {
+func readFits(path string) ([]plan.LinearFit, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read benchmarks: %w", err)
 	}
-	return plan.Slopes(string(data))
+	return plan.FitBenchmarks(string(data))
 }
 
-func table(benchmarks, page string) error {
-	slopes, err := readSlopes(benchmarks)
+func writeTables(benchmarks, page string) error {
+	fits, err := readFits(benchmarks)
 	if err != nil {
 		return err
 	}
@@ -52,21 +52,21 @@
 	if err != nil {
 		return fmt.Errorf("read page: %w", err)
 	}
-	text, err := plan.Replace(string(old), plan.Tables(slopes))
+	text, err := plan.ReplaceTables(string(old), plan.Tables(fits))
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(page, []byte(text), 0o644)
 }
 
-// The marks between which the tables of measured days stand.
+// The markers around the tables of measured days.
 const (
-	beginDays = "<!-- begin written by capacity days -->"
-	endDays   = "<!-- end written by capacity days -->"
+	beginDaysMarker = "<!-- begin written by capacity days -->"
+	endDaysMarker   = "<!-- end written by capacity days -->"
 )
 
 func writeDays(journal, from, page string) error {
-	tables, err := days.Page(journal, from)
+	tables, err := days.Tables(journal, from)
 	if err != nil {
 		return err
 	}
@@ -74,20 +74,20 @@
 	if err != nil {
 		return fmt.Errorf("read page: %w", err)
 	}
-	text, err := marked.Insert(string(old), beginDays, endDays, tables)
+	text, err := marked.Replace(string(old), beginDaysMarker, endDaysMarker, tables)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(page, []byte(text), 0o644)
 }
 
-func draw(benchmarks, folder string) error {
-	slopes, err := readSlopes(benchmarks)
+func plotFits(benchmarks, folder string) error {
+	fits, err := readFits(benchmarks)
 	if err != nil {
 		return err
 	}
-	for _, s := range slopes {
-		if err := s.Plot(filepath.Join(folder, s.Name+".svg")); err != nil {
+	for _, f := range fits {
+		if err := f.Plot(filepath.Join(folder, f.Name+".svg")); err != nil {
 			return err
 		}
 	}
--- a/capacity/internal/plan/doc.go
+++ b/capacity/internal/plan/doc.go
@@ -1,2 +1,4 @@
-// Package plan fits slopes to benchmark output and works out tables from them.
+// Package plan fits linear cost models to benchmark output and computes the tables of the capacity
+// page from them: the costs of each mechanism in each deployment, and whether a host stays within
+// its budgets. The capacity command calls it.
 package plan
--- a/capacity/internal/plan/platform.go
+++ b/capacity/internal/plan/platform.go
@@ -6,125 +6,140 @@
 	"strings"
 )
 
-// What hosts on the users' platform do, and how often; see packages fleet and membership.
+// Rates and sizes of hosts on the users' platform; they must match packages fleet and membership.
 const (
-	readers = 2
-	fanOut  = 2
-	// plansASecond is how often a plan is drawn, and listsASecond how often a reader reads the
-	// upstreams where they may be sent work for 4 s once they leave; both end followers' calls.
-	plansASecond = 2
-	listsASecond = 0.67
-	// packetBytes is what the headers of TCP and IP take of a call: two packets and their acknowledgements.
-	packetBytes = 208
-	// countsBytes is what a call tells of requests in progress at most: 40 engines and 8
-	// prompts of 4 bytes each.
-	countsBytes = 192
-	// planLimit is how large a plan is at most; one with a pool for each of many models still names
-	// some engines, which takes leastNamedBytes beside poolBytes for each pool.
-	planLimit       = 172
-	poolBytes       = 7
-	leastNamedBytes = 64
-	// planBudget is what a host may tell of plans to all its followers, in bytes a second.
-	planBudget = 700
-	// entryBytes is what an upstream writes of itself into the store, each entryEvery seconds.
-	entryBytes   = 250
-	entryEvery   = 1.2
-	prompts      = 16384
-	upstreamNews = 0.25
+	readersPerRegion = 2
+	fanOut           = 2
+	// plansPerSecond is how often a plan is made. upstreamReadsPerSecond is how often a reader
+	// reads the list of upstreams if they may be sent requests for 4 s after they leave. Both end
+	// the long polls of followers.
+	plansPerSecond         = 2
+	upstreamReadsPerSecond = 0.67
+	// headerBytesPerCall is the size of the TCP and IP headers of a call: two packets and their
+	// acknowledgements.
+	headerBytesPerCall = 208
+	// maxLoadBytesPerCall is the maximum size of the numbers of requests in progress in a call:
+	// those of 40 engines and 8 prompts, of 4 bytes each.
+	maxLoadBytesPerCall = 192
+	// maxPlanBytes is the maximum size of a plan, unless it has many pools: besides
+	// planBytesPerPool for each pool, a plan always names some engines, in minPlanEngineBytes.
+	maxPlanBytes       = 172
+	planBytesPerPool   = 7
+	minPlanEngineBytes = 64
+	// maxPlanBytesPerSecond is the bandwidth that a host may use for plans to all its followers.
+	maxPlanBytesPerSecond = 700
+	// upstreamEntryBytes is the size of the entry that an upstream writes to the store every
+	// entryIntervalSeconds.
+	upstreamEntryBytes   = 250
+	entryIntervalSeconds = 1.2
+	maxCachedPrompts     = 16384
+	snapshotsPerSecond   = 0.25
 )
 
-// readerReads returns how many calls to the store a reader makes a second: reads of the configuration, which wait an
-// eighth of the operators' bound and one second at most, of the upstreams, and of notices.
-func (s size) readerReads() float64 { return math.Max(1, 8/s.inForce) + 1.33 + 0.33 }
+// readsPerReader returns the calls per second of a reader to the store: reads of the configuration,
+// which are long polls of an eighth of the maximum configuration delay and at most one second, of
+// the upstreams, and of notices.
+func (d deployment) readsPerReader() float64 {
+	return math.Max(1, 8/d.maxConfigDelaySeconds) + 1.33 + 0.33
+}
 
-func (s size) readers() float64 { return readers * s.nodes / s.hostsPerRegion }
+func (d deployment) readerCount() float64 { return readersPerRegion * d.hosts / d.hostsPerRegion }
 
-// domainHosts is how many hosts a failure domain has: there are four, or three of today.
-func (s size) domainHosts() float64 { return math.Ceil(s.nodes / 4) }
+// hostsPerFailureDomain returns the number of hosts in a failure domain. The target has four
+// domains; the deployments of today have three, for which the result is the same.
+func (d deployment) hostsPerFailureDomain() float64 { return math.Ceil(d.hosts / 4) }
 
-// steps returns how many hosts news comes through from a reader to the last host.
-func (s size) steps() float64 {
-	steps, reached := 1.0, 1.0
-	for n := 1.0; reached < s.domainHosts(); steps++ {
-		n *= fanOut
-		reached += n
+// treeDepth returns the number of levels in the tree of hosts that follow a reader.
+func (d deployment) treeDepth() float64 {
+	depth, reached := 1.0, 1.0
+	for width := 1.0; reached < d.hostsPerFailureDomain(); depth++ {
+		width *= fanOut
+		reached += width
 	}
-	return steps
+	return depth
 }
 
-// planBytes returns the bytes of one plan at most.
-func (s size) planBytes() float64 { return math.Max(planLimit, poolBytes*s.pools+leastNamedBytes) }
+// planBytes returns the maximum size of a plan.
+func (d deployment) planBytes() float64 {
+	return math.Max(maxPlanBytes, planBytesPerPool*d.pools+minPlanEngineBytes)
+}
 
-// plans returns how often a follower is told a plan in a second.
-func (s size) plans() float64 {
-	return math.Min(plansASecond, planBudget/(fanOut*s.planBytes()))
+// plansPerFollower returns the plans per second that a follower receives.
+func (d deployment) plansPerFollower() float64 {
+	return math.Min(plansPerSecond, maxPlanBytesPerSecond/(fanOut*d.planBytes()))
 }
 
-// linked returns the bytes a second between a host and one that follows it.
-func (m model) linked(s size) float64 {
-	calls := (plansASecond + listsASecond) * (m.at("follow-bytes", s.upstreams) + packetBytes)
-	return calls + plansASecond*countsBytes + s.plans()*s.planBytes()
+// linkBytesPerSecond returns the bytes per second between a host and one follower.
+func (m model) linkBytesPerSecond(d deployment) float64 {
+	calls := (plansPerSecond + upstreamReadsPerSecond) * (m.cost("follow-bytes", d.upstreams) + headerBytesPerCall)
+	return calls + plansPerSecond*maxLoadBytesPerCall + d.plansPerFollower()*d.planBytes()
 }
 
-// above returns the bytes a second of a host that others follow, below of one that none does.
-func (m model) above(s size) float64 { return (fanOut + 1) * m.linked(s) }
-func (m model) below(s size) float64 { return m.linked(s) }
+// interiorBytesPerSecond returns the bytes per second of a host with followers, leafBytesPerSecond
+// of one without.
+func (m model) interiorBytesPerSecond(d deployment) float64 {
+	return (fanOut + 1) * m.linkBytesPerSecond(d)
+}
+func (m model) leafBytesPerSecond(d deployment) float64 { return m.linkBytesPerSecond(d) }
 
-// entries returns the bytes a second that upstreams write of themselves, all of which a reader reads.
-func (s size) entries() float64 { return s.upstreams * entryBytes / entryEvery }
+// entryBytesPerSecond returns the bytes per second that all upstreams write as entries; a reader
+// reads all of them.
+func (d deployment) entryBytesPerSecond() float64 {
+	return d.upstreams * upstreamEntryBytes / entryIntervalSeconds
+}
 
-func (m model) hostCPU(s size, neighbors float64) float64 {
-	ns := neighbors * (listsASecond*m.at("follow-time", s.upstreams) + plansASecond*m.at("plan-time", s.upstreams))
-	ns += upstreamNews * m.at("snapshot-time", s.upstreams)
-	ns += s.requests / s.nodes * m.at("choose-time", s.poolSize())
+func (m model) hostCores(d deployment, neighbors float64) float64 {
+	ns := neighbors * (upstreamReadsPerSecond*m.cost("follow-time", d.upstreams) + plansPerSecond*m.cost("plan-time", d.upstreams))
+	ns += snapshotsPerSecond * m.cost("snapshot-time", d.upstreams)
+	ns += d.requestsPerSecond / d.hosts * m.cost("choose-time", d.poolSize())
 	return ns / 1e9
 }
 
-func (m model) platformMemory(s size) float64 {
-	return prompts*m.perOne("warmth-bytes") + 2*m.at("snapshot-bytes", s.upstreams)
+func (m model) platformMemoryBytes(d deployment) float64 {
+	return maxCachedPrompts*m.slope("warmth-bytes") + 2*m.cost("snapshot-bytes", d.upstreams)
 }
 
-// platform writes the figures of hosts on the users' platform.
-func (m model) platform(b *strings.Builder) {
-	b.WriteString("\n### On the users' platform\n\n| role | item | mechanism | " + names() + " |\n|---|---|---|---|---|---|\n")
+// writePlatform writes the tables of hosts on the users' platform.
+func (m model) writePlatform(b *strings.Builder) {
+	b.WriteString("\n### On the users' platform\n\n| role | item | mechanism | " + deploymentNames() + " |\n|---|---|---|---|---|---|\n")
 	rows := []row{
-		{"traffic", "one choice of an upstream", "rendezvous hashing under a bound, one pass", micro, func(s size) float64 { return m.at("choose-time", s.poolSize()) }},
-		{"traffic", "where prompts are cached", "LRU of 16,384 prompts a node", megabytes, func(size) float64 { return prompts * m.perOne("warmth-bytes") }},
-		{"control", "hosts that read the store", "2 of each region", number, size.readers},
-		{"control", "steps from one to the last host", "a tree, 2 below each", number, size.steps},
-		{"control", "calls to the store, all hosts", "readers alone", number, func(s size) float64 { return s.readers() * s.readerReads() }},
-		{"control", "calls to the store, if each host read it", "(not so)", number, func(s size) float64 { return s.nodes * s.readerReads() }},
-		{"control", "between two plans at a host", "by budget", seconds, func(s size) float64 { return 1 / s.plans() }},
-		{"host that none follows", "bytes, both ways, headers included", "net/rpc, what has changed", perSecond, m.below},
-		{"host that others follow", "bytes, both ways, headers included", "the same, three times", perSecond, m.above},
-		{"host that others follow", "share of a core", "", percent, func(s size) float64 { return m.hostCPU(s, fanOut+1) }},
-		{"reader", "bytes from the store besides", "all that upstreams write of themselves", perSecond, size.entries},
-		{"control", "a new snapshot", "whole, rebuilt on change", milli, func(s size) float64 { return m.at("snapshot-time", s.upstreams) }},
-		{"control", "memory", "snapshots and warm prompts", megabytes, m.platformMemory},
+		{"traffic", "one choice of an upstream", "rendezvous hashing under a bound, one pass", formatMicroseconds, func(d deployment) float64 { return m.cost("choose-time", d.poolSize()) }},
+		{"traffic", "where prompts are cached", "LRU of 16,384 prompts a node", formatMegabytes, func(deployment) float64 { return maxCachedPrompts * m.slope("warmth-bytes") }},
+		{"control", "hosts that read the store", "2 of each region", formatNumber, deployment.readerCount},
+		{"control", "steps from one to the last host", "a tree, 2 below each", formatNumber, deployment.treeDepth},
+		{"control", "calls to the store, all hosts", "readers alone", formatNumber, func(d deployment) float64 { return d.readerCount() * d.readsPerReader() }},
+		{"control", "calls to the store, if each host read it", "(not so)", formatNumber, func(d deployment) float64 { return d.hosts * d.readsPerReader() }},
+		{"control", "between two plans at a host", "by budget", formatSeconds, func(d deployment) float64 { return 1 / d.plansPerFollower() }},
+		{"host that none follows", "bytes, both ways, headers included", "net/rpc, what has changed", formatBytesPerSecond, m.leafBytesPerSecond},
+		{"host that others follow", "bytes, both ways, headers included", "the same, three times", formatBytesPerSecond, m.interiorBytesPerSecond},
+		{"host that others follow", "share of a core", "", formatPercent, func(d deployment) float64 { return m.hostCores(d, fanOut+1) }},
+		{"reader", "bytes from the store besides", "all that upstreams write of themselves", formatBytesPerSecond, deployment.entryBytesPerSecond},
+		{"control", "a new snapshot", "whole, rebuilt on change", formatMilliseconds, func(d deployment) float64 { return m.cost("snapshot-time", d.upstreams) }},
+		{"control", "memory", "snapshots and warm prompts", formatMegabytes, m.platformMemoryBytes},
 	}
 	for _, r := range rows {
 		fmt.Fprintf(b, "| %s | %s | %s |", r.role, r.item, r.mechanism)
-		for _, s := range sizes {
-			fmt.Fprintf(b, " %s |", r.format(r.at(s)))
+		for _, d := range deployments {
+			fmt.Fprintf(b, " %s |", r.format(r.value(d)))
 		}
 		b.WriteString("\n")
 	}
-	target := sizes[len(sizes)-1]
+	target := deployments[len(deployments)-1]
 	b.WriteString("\n| budget of one node at the target | allowed | none follow | others follow | reader | fits |\n|---|---|---|---|---|---|\n")
-	budget := func(name string, limit float64, format func(float64) string, figures ...float64) {
-		fits := "yes"
+	budget := func(name string, limit float64, format func(float64) string, values ...float64) {
+		withinBudget := "yes"
 		for i, role := range []string{"all", "hosts that others follow", "readers"} {
-			if figures[i] > limit {
-				fits = "**NO** for " + role
+			if values[i] > limit {
+				withinBudget = "**NO** for " + role
 				break
 			}
 		}
-		fmt.Fprintf(b, "| %s | %s | %s | %s | %s | %s |\n", name, format(limit), format(figures[0]), format(figures[1]), format(figures[2]), fits)
+		fmt.Fprintf(b, "| %s | %s | %s | %s | %s | %s |\n", name, format(limit), format(values[0]), format(values[1]), format(values[2]), withinBudget)
 	}
-	memory := m.platformMemory(target)
-	budget("control, share of a core", cpuBudget, percent, m.hostCPU(target, 1), m.hostCPU(target, fanOut+1), m.hostCPU(target, fanOut+1))
-	budget("control, memory", memoryBudget, megabytes, memory, memory, memory)
-	budget("control, bytes both ways", byteBudget, perSecond, m.below(target), m.above(target), m.above(target)+target.entries())
-	mean := (m.below(target)*(1-1.0/fanOut) + m.above(target)/fanOut) + target.entries()*target.readers()/target.nodes
-	fmt.Fprintf(b, "\nIn the mean over all hosts, readers included: %s.\n", perSecond(mean))
+	memory := m.platformMemoryBytes(target)
+	budget("control, share of a core", cpuBudget, formatPercent, m.hostCores(target, 1), m.hostCores(target, fanOut+1), m.hostCores(target, fanOut+1))
+	budget("control, memory", memoryBudget, formatMegabytes, memory, memory, memory)
+	budget("control, bytes both ways", bandwidthBudget, formatBytesPerSecond, m.leafBytesPerSecond(target), m.interiorBytesPerSecond(target), m.interiorBytesPerSecond(target)+target.entryBytesPerSecond())
+	mean := (m.leafBytesPerSecond(target)*(1-1.0/fanOut) + m.interiorBytesPerSecond(target)/fanOut) + target.entryBytesPerSecond()*target.readerCount()/target.hosts
+	fmt.Fprintf(b, "\nIn the mean over all hosts, readers included: %s.\n", formatBytesPerSecond(mean))
 }
--- a/capacity/internal/plan/tables.go
+++ b/capacity/internal/plan/tables.go
@@ -8,194 +8,201 @@
 	"jackdawhinge/capacity/internal/marked"
 )
 
-// The budgets of one node.
+// The budgets of one host: the ratio of a core, bytes of memory, bytes per second, and appends per
+// second of the whole fleet.
 const (
-	cpuBudget    = 0.035
-	memoryBudget = 64 << 20
-	byteBudget   = 5 << 10
-	appendBudget = 300
+	cpuBudget       = 0.035
+	memoryBudget    = 64 << 20
+	bandwidthBudget = 5 << 10
+	appendBudget    = 300
 )
 
-// What the code does, and how often; the tables are wrong where these differ from it.
+// Rates and sizes of the implementation. They must match the code, or the tables are wrong.
 const (
-	exchangesASecond   = 2
-	rowsAnExchange     = 12
-	pollsASecond       = 0.5
-	pollBytes          = 420
-	listPollBytes      = 90
-	longPollSeconds    = 30
-	longPollBytes      = 400
-	checkpointSeconds  = 600
-	partitions         = 128
-	appendsASecond     = 1.25
-	recordEnvelope     = 28
-	claimCallBytes     = 263
-	secondsADay        = 86400
-	evidenceViewsADay  = 2000
-	processBaseBytes   = 22 << 20
-	streamBytes        = 24 << 10
-	claimShare         = 0.02
-	retentionSeconds   = 3600
-	meanAnswerSeconds  = 10
-	movedShare         = 0.25
-	hostReplacements   = 102
-	upstreamListEvents = 200
+	exchangesPerSecond           = 2
+	maxRowsPerExchange           = 12
+	loadPollsPerSecond           = 0.5
+	loadPollBytes                = 420
+	hostListPollBytesPerSecond   = 90
+	longPollSeconds              = 30
+	longPollBytes                = 400
+	checkpointIntervalSeconds    = 600
+	partitions                   = 128
+	maxAppendsPerPartitionSecond = 1.25
+	recordEnvelopeBytes          = 28
+	claimCallBytes               = 263
+	secondsPerDay                = 86400
+	evidenceChangesPerDay        = 2000
+	processBaseBytes             = 22 << 20
+	bytesPerStream               = 24 << 10
+	claimRatio                   = 0.02
+	retentionSeconds             = 3600
+	meanResponseSeconds          = 10
+	movedChatRatio               = 0.25
+	hostReplacementsPerDay       = 102
+	upstreamChangesPerDay        = 200
 )
 
-// A size is a deployment.
-type size struct {
+// A deployment is the size and the traffic of a fleet.
+type deployment struct {
 	name                                                       string
-	nodes, upstreams, hostsPerRegion, pools, workspaces, chats float64
-	requests, tokens, changes                                  float64
-	// inForce is within how many seconds a changed configuration must be in force.
-	inForce float64
+	hosts, upstreams, hostsPerRegion, pools, workspaces, chats float64
+	requestsPerSecond, tokensPerSecond, configChangesPerDay    float64
+	// maxConfigDelaySeconds is how long a changed configuration may take to be in force on all
+	// hosts.
+	maxConfigDelaySeconds float64
 }
 
-var sizes = []size{
+var deployments = []deployment{
 	{"letters today", 9, 14, 9, 2, 10, 5e3, 50, 1.4e4, 20, 2},
 	{"register today", 9, 23, 9, 2, 10, 5e3, 80, 2.3e4, 20, 2},
 	{"target", 360, 880, 180, 23, 620, 1.8e6, 14000, 4e6, 2400, 18},
 }
 
-// row is one line of the table: the mechanism that carries an item, and its figures at each size.
+// row is one line of a table: an item, the mechanism that implements it, and its value in each
+// deployment.
 type row struct {
 	role, item, mechanism string
 	format                func(float64) string
-	at                    func(size) float64
+	value                 func(deployment) float64
 }
 
 type model struct {
-	slopes map[string]Slope
+	fits map[string]LinearFit
 }
 
-func (m model) at(name string, x float64) float64 {
-	s := m.slopes[name]
-	return math.Max(s.At(x), 0)
+func (m model) cost(name string, size float64) float64 {
+	f := m.fits[name]
+	return math.Max(f.Predict(size), 0)
 }
 
-func (m model) perOne(name string) float64 { return m.slopes[name].PerOne }
+func (m model) slope(name string) float64 { return m.fits[name].Slope }
 
-func (s size) poolSize() float64    { return s.upstreams / s.pools }
-func (s size) owned() float64       { return s.upstreams / s.nodes }
-func (s size) rows() float64        { return math.Min(s.poolSize(), rowsAnExchange) }
-func (s size) claims() float64      { return s.requests * claimShare }
-func (s size) viewsADay() float64   { return s.changes + evidenceViewsADay + upstreamListEvents }
-func (s size) partsANode() float64  { return math.Max(1, partitions/s.nodes) }
-func (s size) claimsApart() float64 { return s.claims() / partitions }
+func (d deployment) poolSize() float64         { return d.upstreams / d.pools }
+func (d deployment) upstreamsPerHost() float64 { return d.upstreams / d.hosts }
+func (d deployment) rowsPerExchange() float64  { return math.Min(d.poolSize(), maxRowsPerExchange) }
+func (d deployment) claimsPerSecond() float64  { return d.requestsPerSecond * claimRatio }
+func (d deployment) viewChangesPerDay() float64 {
+	return d.configChangesPerDay + evidenceChangesPerDay + upstreamChangesPerDay
+}
+func (d deployment) partitionsPerHost() float64        { return math.Max(1, partitions/d.hosts) }
+func (d deployment) partitionClaimsPerSecond() float64 { return d.claimsPerSecond() / partitions }
 
-// exchange returns the bytes of one exchange, both ways.
-func (m model) exchange(s size) float64 {
-	e := m.slopes["exchange-bytes"]
-	return e.Intercept + 2*e.PerOne*s.rows()
+// exchangeBytes returns the bytes of one exchange in both directions.
+func (m model) exchangeBytes(d deployment) float64 {
+	fit := m.fits["exchange-bytes"]
+	return fit.Intercept + 2*fit.Slope*d.rowsPerExchange()
 }
 
-func (m model) configurationBytes(s size) float64 {
-	changes := s.changes / secondsADay * 234
-	checkpoint := m.at("checkpoint-bytes", s.workspaces) / checkpointSeconds
+func (m model) configBytesPerSecond(d deployment) float64 {
+	changes := d.configChangesPerDay / secondsPerDay * 234
+	checkpoint := m.cost("checkpoint-bytes", d.workspaces) / checkpointIntervalSeconds
 	return changes + checkpoint + longPollBytes/longPollSeconds
 }
 
-func (m model) listBytes(s size) float64 {
-	changed := (hostReplacements + upstreamListEvents) * s.nodes / 360 * m.at("host-list-bytes", s.nodes+s.upstreams) / secondsADay
-	return listPollBytes + changed
+func (m model) hostListBytesPerSecond(d deployment) float64 {
+	changed := (hostReplacementsPerDay + upstreamChangesPerDay) * d.hosts / 360 * m.cost("host-list-bytes", d.hosts+d.upstreams) / secondsPerDay
+	return hostListPollBytesPerSecond + changed
 }
 
-func (m model) claimBytes(s size) float64 {
-	log := s.partsANode() * (s.claimsApart()*(m.perOne("claim-log-bytes")+2*recordEnvelope)*2 + longPollBytes/longPollSeconds)
-	calls := (s.claims()/s.nodes + s.partsANode()*s.claimsApart()) * claimCallBytes
+func (m model) claimBytesPerSecond(d deployment) float64 {
+	log := d.partitionsPerHost() * (d.partitionClaimsPerSecond()*(m.slope("claim-log-bytes")+2*recordEnvelopeBytes)*2 + longPollBytes/longPollSeconds)
+	calls := (d.claimsPerSecond()/d.hosts + d.partitionsPerHost()*d.partitionClaimsPerSecond()) * claimCallBytes
 	return log + calls
 }
 
-func (m model) controlBytes(s size) float64 {
-	// Each host asks exchangesASecond times and is asked as often.
-	return 2*exchangesASecond*m.exchange(s) + s.owned()*pollsASecond*pollBytes + m.configurationBytes(s) + m.listBytes(s) + m.claimBytes(s)
+func (m model) controlBytesPerSecond(d deployment) float64 {
+	// Each host starts exchangesPerSecond exchanges and is asked for as many.
+	return 2*exchangesPerSecond*m.exchangeBytes(d) + d.upstreamsPerHost()*loadPollsPerSecond*loadPollBytes + m.configBytesPerSecond(d) + m.hostListBytesPerSecond(d) + m.claimBytesPerSecond(d)
 }
 
-func (m model) controlCPU(s size) float64 {
-	ns := 2*exchangesASecond*m.at("exchange-time", 2*s.rows()) + s.owned()*pollsASecond*1e5
-	ns += s.viewsADay() / secondsADay * m.at("view-time", s.upstreams)
-	ns += s.changes / secondsADay * m.at("change-time", s.workspaces)
-	ns += s.partsANode() * s.claimsApart() * 2 * m.perOne("claim-time")
-	ns += s.requests / s.nodes * 2 * m.at("decision", s.poolSize())
+func (m model) controlCores(d deployment) float64 {
+	ns := 2*exchangesPerSecond*m.cost("exchange-time", 2*d.rowsPerExchange()) + d.upstreamsPerHost()*loadPollsPerSecond*1e5
+	ns += d.viewChangesPerDay() / secondsPerDay * m.cost("view-time", d.upstreams)
+	ns += d.configChangesPerDay / secondsPerDay * m.cost("change-time", d.workspaces)
+	ns += d.partitionsPerHost() * d.partitionClaimsPerSecond() * 2 * m.slope("claim-time")
+	ns += d.requestsPerSecond / d.hosts * 2 * m.cost("decision", d.poolSize())
 	return ns / 1e9
 }
 
-func (m model) controlMemory(s size) float64 {
-	moved := math.Min(s.chats*movedShare/s.nodes, 1<<16) * m.perOne("moved-chat-bytes")
-	view := m.at("view-bytes-upstream", s.upstreams) + m.perOne("view-bytes-host")*s.hostsPerRegion
-	claims := s.partsANode() * s.claimsApart() * retentionSeconds * m.perOne("claim-memory")
-	return moved + view + 3*m.at("checkpoint-bytes", s.workspaces) + claims
+func (m model) controlMemoryBytes(d deployment) float64 {
+	moved := math.Min(d.chats*movedChatRatio/d.hosts, 1<<16) * m.slope("moved-chat-bytes")
+	view := m.cost("view-bytes-upstream", d.upstreams) + m.slope("view-bytes-host")*d.hostsPerRegion
+	claims := d.partitionsPerHost() * d.partitionClaimsPerSecond() * retentionSeconds * m.slope("claim-memory")
+	return moved + view + 3*m.cost("checkpoint-bytes", d.workspaces) + claims
 }
 
-func (m model) table() []row {
+func (m model) rows() []row {
 	return []row{
-		{"traffic", "requests/s a node", "platform's balancer", number, func(s size) float64 { return s.requests / s.nodes }},
-		{"traffic", "tokens/s a node, over two hops", "streamed frame by frame", number, func(s size) float64 { return 2 * s.tokens / s.nodes }},
-		{"traffic", "answers in progress a node, as entry and as owner", "one goroutine and buffers each", number, func(s size) float64 { return 2 * s.requests / s.nodes * meanAnswerSeconds }},
-		{"traffic", "memory for them", "buffers, bounded by limits", megabytes, func(s size) float64 { return processBaseBytes + 2*s.requests/s.nodes*meanAnswerSeconds*streamBytes }},
-		{"traffic", "cores for them, callers and engine included", "two copies a token", number, func(s size) float64 {
-			return s.tokens / s.nodes * m.perOne("token-time") / 1e9
+		{"traffic", "requests/s a node", "platform's balancer", formatNumber, func(d deployment) float64 { return d.requestsPerSecond / d.hosts }},
+		{"traffic", "tokens/s a node, over two hops", "streamed frame by frame", formatNumber, func(d deployment) float64 { return 2 * d.tokensPerSecond / d.hosts }},
+		{"traffic", "answers in progress a node, as entry and as owner", "one goroutine and buffers each", formatNumber, func(d deployment) float64 { return 2 * d.requestsPerSecond / d.hosts * meanResponseSeconds }},
+		{"traffic", "memory for them", "buffers, bounded by limits", formatMegabytes, func(d deployment) float64 {
+			return processBaseBytes + 2*d.requestsPerSecond/d.hosts*meanResponseSeconds*bytesPerStream
+		}},
+		{"traffic", "cores for them, callers and engine included", "two copies a token", formatNumber, func(d deployment) float64 {
+			return d.tokensPerSecond / d.hosts * m.slope("token-time") / 1e9
 		}},
-		{"traffic", "one decision", "rendezvous hashing over the pool", micro, func(s size) float64 { return m.at("decision", s.poolSize()) }},
-		{"control", "upstreams owned a node", "sharded: rendezvous hashing over entry hosts", number, size.owned},
-		{"control", "view", "whole, rebuilt on change", megabytes, func(s size) float64 {
-			return m.at("view-bytes-upstream", s.upstreams) + m.perOne("view-bytes-host")*s.hostsPerRegion
+		{"traffic", "one decision", "rendezvous hashing over the pool", formatMicroseconds, func(d deployment) float64 { return m.cost("decision", d.poolSize()) }},
+		{"control", "upstreams owned a node", "sharded: rendezvous hashing over entry hosts", formatNumber, deployment.upstreamsPerHost},
+		{"control", "view", "whole, rebuilt on change", formatMegabytes, func(d deployment) float64 {
+			return m.cost("view-bytes-upstream", d.upstreams) + m.slope("view-bytes-host")*d.hostsPerRegion
 		}},
-		{"control", "a new view, on each change of list, configuration or evidence", "whole, rebuilt on change", milli, func(s size) float64 {
-			return m.at("view-time", s.upstreams)
+		{"control", "a new view, on each change of list, configuration or evidence", "whole, rebuilt on change", formatMilliseconds, func(d deployment) float64 {
+			return m.cost("view-time", d.upstreams)
 		}},
-		{"control", "moved chats remembered", "sharded by owner, LRU of 65,536", megabytes, func(s size) float64 {
-			return math.Min(s.chats*movedShare/s.nodes, 1<<16) * m.perOne("moved-chat-bytes")
+		{"control", "moved chats remembered", "sharded by owner, LRU of 65,536", formatMegabytes, func(d deployment) float64 {
+			return math.Min(d.chats*movedChatRatio/d.hosts, 1<<16) * m.slope("moved-chat-bytes")
 		}},
-		{"control", "load rows, both ways", "sampled: 12 rows, twice a second, inside a pool", perSecond, func(s size) float64 { return 2 * exchangesASecond * m.exchange(s) }},
-		{"control", "load reports of own upstreams", "sharded by owner", perSecond, func(s size) float64 { return s.owned() * pollsASecond * pollBytes }},
-		{"control", "configuration stream", "small changes, a checkpoint each 10 min", perSecond, m.configurationBytes},
-		{"control", "host list", "whole list, compressed, on change only", perSecond, m.listBytes},
-		{"claims", "claims/s in the fleet (2 in 100 requests)", "128 partitions", number, size.claims},
-		{"claims", "appends/s in the fleet, at most", "batched: one append each 800 ms a partition", number, func(s size) float64 {
-			return math.Min(partitions*appendsASecond, 2*s.claims())
+		{"control", "load rows, both ways", "sampled: 12 rows, twice a second, inside a pool", formatBytesPerSecond, func(d deployment) float64 { return 2 * exchangesPerSecond * m.exchangeBytes(d) }},
+		{"control", "load reports of own upstreams", "sharded by owner", formatBytesPerSecond, func(d deployment) float64 { return d.upstreamsPerHost() * loadPollsPerSecond * loadPollBytes }},
+		{"control", "configuration stream", "small changes, a checkpoint each 10 min", formatBytesPerSecond, m.configBytesPerSecond},
+		{"control", "host list", "whole list, compressed, on change only", formatBytesPerSecond, m.hostListBytesPerSecond},
+		{"claims", "claims/s in the fleet (2 in 100 requests)", "128 partitions", formatNumber, deployment.claimsPerSecond},
+		{"claims", "appends/s in the fleet, at most", "batched: one append each 800 ms a partition", formatNumber, func(d deployment) float64 {
+			return math.Min(partitions*maxAppendsPerPartitionSecond, 2*d.claimsPerSecond())
 		}},
-		{"claims", "bytes, both ways, a node that owns partitions", "sharded by owner", perSecond, m.claimBytes},
-		{"claims", "claims kept (1 h), a node that owns partitions", "forgotten with the log's retention", megabytes, func(s size) float64 {
-			return s.partsANode() * s.claimsApart() * retentionSeconds * m.perOne("claim-memory")
+		{"claims", "bytes, both ways, a node that owns partitions", "sharded by owner", formatBytesPerSecond, m.claimBytesPerSecond},
+		{"claims", "claims kept (1 h), a node that owns partitions", "forgotten with the log's retention", formatMegabytes, func(d deployment) float64 {
+			return d.partitionsPerHost() * d.partitionClaimsPerSecond() * retentionSeconds * m.slope("claim-memory")
 		}},
-		{"checkpoint", "one checkpoint", "its owner, or any host a turn later", megabytes, func(s size) float64 { return m.at("checkpoint-bytes", s.workspaces) }},
-		{"command line", "apply --wait", "on demand: one call a host, 32 at a time", number, func(s size) float64 { return s.nodes }},
+		{"checkpoint", "one checkpoint", "its owner, or any host a turn later", formatMegabytes, func(d deployment) float64 { return m.cost("checkpoint-bytes", d.workspaces) }},
+		{"command line", "apply --wait", "on demand: one call a host, 32 at a time", formatNumber, func(d deployment) float64 { return d.hosts }},
 	}
 }
 
-// Tables returns the slopes, the figures at each size and the budgets as Markdown.
-func Tables(slopes []Slope) string {
-	m := model{slopes: map[string]Slope{}}
+// Tables returns the fits, the values in each deployment and the budgets as Markdown tables.
+func Tables(fits []LinearFit) string {
+	m := model{fits: map[string]LinearFit{}}
 	var b strings.Builder
 	b.WriteString("### Slopes\n\n| slope | benchmark | unit | per one | intercept | worst distance from the line |\n|---|---|---|---|---|---|\n")
-	for _, s := range slopes {
-		m.slopes[s.Name] = s
-		fmt.Fprintf(&b, "| %s | `%s` | %s | %.4g | %.4g | %.0f%% |\n", s.Name, s.Benchmark, s.Unit, s.PerOne, s.Intercept, 100*s.Worst)
+	for _, f := range fits {
+		m.fits[f.Name] = f
+		fmt.Fprintf(&b, "| %s | `%s` | %s | %.4g | %.4g | %.0f%% |\n", f.Name, f.Benchmark, f.Unit, f.Slope, f.Intercept, 100*f.MaxRelativeError)
 	}
-	b.WriteString("\n### Figures\n\n| role | item | mechanism | " + names() + " |\n|---|---|---|---|---|---|\n")
-	for _, r := range m.table() {
+	b.WriteString("\n### Figures\n\n| role | item | mechanism | " + deploymentNames() + " |\n|---|---|---|---|---|---|\n")
+	for _, r := range m.rows() {
 		fmt.Fprintf(&b, "| %s | %s | %s |", r.role, r.item, r.mechanism)
-		for _, s := range sizes {
-			fmt.Fprintf(&b, " %s |", r.format(r.at(s)))
+		for _, d := range deployments {
+			fmt.Fprintf(&b, " %s |", r.format(r.value(d)))
 		}
 		b.WriteString("\n")
 	}
-	m.budgets(&b)
-	m.platform(&b)
+	m.writeBudgets(&b)
+	m.writePlatform(&b)
 	return b.String()
 }
 
-func names() string {
-	var all []string
-	for _, s := range sizes {
-		all = append(all, s.name)
+func deploymentNames() string {
+	var names []string
+	for _, d := range deployments {
+		names = append(names, d.name)
 	}
-	return strings.Join(all, " | ")
+	return strings.Join(names, " | ")
 }
 
-func (m model) budgets(b *strings.Builder) {
-	target := sizes[len(sizes)-1]
+func (m model) writeBudgets(b *strings.Builder) {
+	target := deployments[len(deployments)-1]
 	b.WriteString("\n### Budgets at the target size\n\n| budget of one node | allowed | worked out | used | fits |\n|---|---|---|---|---|\n")
 	rows := []struct {
 		name   string
@@ -203,36 +210,37 @@
 		value  float64
 		format func(float64) string
 	}{
-		{"control, share of a core", cpuBudget, m.controlCPU(target), percent},
-		{"control, memory", memoryBudget, m.controlMemory(target), megabytes},
-		{"control, bytes both ways", byteBudget, m.controlBytes(target), perSecond},
-		{"appends/s of the whole fleet", appendBudget, math.Min(partitions*appendsASecond, 2*target.claims()), number},
-		{"appends/s with configuration", appendBudget, math.Min(partitions*appendsASecond, 2*target.claims()) + target.changes/secondsADay + 1.0/checkpointSeconds, number},
+		{"control, share of a core", cpuBudget, m.controlCores(target), formatPercent},
+		{"control, memory", memoryBudget, m.controlMemoryBytes(target), formatMegabytes},
+		{"control, bytes both ways", bandwidthBudget, m.controlBytesPerSecond(target), formatBytesPerSecond},
+		{"appends/s of the whole fleet", appendBudget, math.Min(partitions*maxAppendsPerPartitionSecond, 2*target.claimsPerSecond()), formatNumber},
+		{"appends/s with configuration", appendBudget, math.Min(partitions*maxAppendsPerPartitionSecond, 2*target.claimsPerSecond()) + target.configChangesPerDay/secondsPerDay + 1.0/checkpointIntervalSeconds, formatNumber},
 	}
 	for _, r := range rows {
-		fits := "yes"
+		withinBudget := "yes"
 		if r.value > r.limit {
-			fits = "**NO**"
+			withinBudget = "**NO**"
 		}
-		fmt.Fprintf(b, "| %s | %s | %s | %.0f%% | %s |\n", r.name, r.format(r.limit), r.format(r.value), 100*r.value/r.limit, fits)
+		fmt.Fprintf(b, "| %s | %s | %s | %.0f%% | %s |\n", r.name, r.format(r.limit), r.format(r.value), 100*r.value/r.limit, withinBudget)
 	}
 }
 
-func number(v float64) string    { return fmt.Sprintf("%.3g", v) }
-func micro(v float64) string     { return fmt.Sprintf("%.2g µs", v/1e3) }
-func milli(v float64) string     { return fmt.Sprintf("%.2g ms", v/1e6) }
-func percent(v float64) string   { return fmt.Sprintf("%.2f%%", 100*v) }
-func perSecond(v float64) string { return fmt.Sprintf("%.0f B/s", v) }
-func seconds(v float64) string   { return fmt.Sprintf("%.2g s", v) }
-func megabytes(v float64) string { return fmt.Sprintf("%.2g MB", v/(1<<20)) }
+func formatNumber(v float64) string         { return fmt.Sprintf("%.3g", v) }
+func formatMicroseconds(v float64) string   { return fmt.Sprintf("%.2g µs", v/1e3) }
+func formatMilliseconds(v float64) string   { return fmt.Sprintf("%.2g ms", v/1e6) }
+func formatPercent(v float64) string        { return fmt.Sprintf("%.2f%%", 100*v) }
+func formatBytesPerSecond(v float64) string { return fmt.Sprintf("%.0f B/s", v) }
+func formatSeconds(v float64) string        { return fmt.Sprintf("%.2g s", v) }
+func formatMegabytes(v float64) string      { return fmt.Sprintf("%.2g MB", v/(1<<20)) }
 
-// The marks between which the page's tables stand.
+// The markers around the tables of the page.
 const (
-	beginMark = "<!-- begin worked out by capacity table -->"
-	endMark   = "<!-- end worked out by capacity table -->"
+	beginMarker = "<!-- begin worked out by capacity table -->"
+	endMarker   = "<!-- end worked out by capacity table -->"
 )
 
-// Replace returns the page with the tables between its marks replaced.
-func Replace(page, tables string) (string, error) {
-	return marked.Insert(page, beginMark, endMark, tables)
+// ReplaceTables returns the page with the tables between its markers replaced. It returns an error
+// if a marker is missing.
+func ReplaceTables(page, tables string) (string, error) {
+	return marked.Replace(page, beginMarker, endMarker, tables)
 }
