--- a/jackdawd/internal/measure/fake_engine_test.go
+++ b/jackdawd/internal/measure/fake_engine_test.go
@@ -12,6 +12,7 @@
 )
 
 const (
+	// Sizes are in tokens. A batch step of an engine takes longer with each running request.
 	baseStep              = 3 * time.Millisecond
 	stepTimePerRequest    = 150 * time.Microsecond
 	prefillChunk          = 512
@@ -19,18 +20,26 @@
 	engineCapacity        = 400_000
 	cacheCapacity         = 1_200_000
 	maxCachedChats        = 1 << 20
-	returnRatio           = 0.8
-	turnExtraTokens       = 100
-	forwardLatency        = 1500 * time.Microsecond
-	sampleInterval        = 100 * time.Millisecond
-	epochSeconds          = 1_800_000_000
-	surgeWorkspaces       = 3
-	surgeFactor           = 10
-	refusedPenalty        = 2 * time.Second
-	warmUpDivisor         = 3
-	reportBytes           = 32
-	reportBytesPerSecond  = 4000
-	minReportInterval     = time.Second
+	// returnRatio is the ratio of turns that are followed by another turn of the chat.
+	returnRatio     = 0.8
+	turnExtraTokens = 100
+	// forwardLatency is the latency of forwarding a request to another host.
+	forwardLatency = 1500 * time.Microsecond
+	sampleInterval = 100 * time.Millisecond
+	epochSeconds   = 1_800_000_000
+	// In a surge, surgeWorkspaces of ten workspaces send surgeFactor times as many requests.
+	surgeWorkspaces = 3
+	surgeFactor     = 10
+	// refusedPenalty is the time to the first token that a refused urgent request counts as.
+	refusedPenalty = 2 * time.Second
+	// warmUpDivisor makes the first third of a run a warm-up, which is not counted; faults come
+	// after it.
+	warmUpDivisor = 3
+	// Load reports of local policies take reportBytes each and may use reportBytesPerSecond, which
+	// bounds how often they are sent.
+	reportBytes          = 32
+	reportBytesPerSecond = 4000
+	minReportInterval    = time.Second
 )
 
 // fakeClass is a class of requests of the workload.
@@ -49,8 +58,9 @@
 // fakeEngine is an engine with continuous batching, sequential prefill and an LRU cache of
 // prefixes.
 type fakeEngine struct {
-	upstream       *routing.Upstream
-	pool           int
+	upstream *routing.Upstream
+	pool     int
+	// alive engines are in the host list; dead ones refuse connections.
 	alive          bool
 	dead           bool
 	running        int
--- a/soak/internal/rig/fleet.go
+++ b/soak/internal/rig/fleet.go
@@ -59,13 +59,15 @@
 
 // A Fleet holds all the parts of a run and its record.
 type Fleet struct {
-	seed            uint64
-	store           *standin.Store
-	restores        atomic.Int64
-	storeServer     *http.Server
-	operator        *operator
-	hosts           []*Host
-	upstreams       []*Upstream
+	seed  uint64
+	store *standin.Store
+	// restores counts the restores of the store.
+	restores    atomic.Int64
+	storeServer *http.Server
+	operator    *operator
+	hosts       []*Host
+	upstreams   []*Upstream
+	// upstreamFaultMu has a mutex for each upstream, held while a fault is injected into it.
 	upstreamFaultMu []sync.Mutex
 	record          *verdict.Record
 	dir             string
--- a/soak/internal/rig/host.go
+++ b/soak/internal/rig/host.go
@@ -39,24 +39,24 @@
 
 // loopbackIP returns a loopback address for one host of this process, so that no other process
 // binds its ports.
-func loopbackIP(number int) string {
+func loopbackIP(index int) string {
 	const perBlock = 250
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", (pid>>8+number/perBlock)%128+1, pid%256, number%perBlock+1)
+	return fmt.Sprintf("127.%d.%d.%d", (pid>>8+index/perBlock)%128+1, pid%256, index%perBlock+1)
 }
 
 // NewHost starts a host that runs program, writes its settings and log to dir and reaches the store
 // through the proxy. It returns an error if the settings cannot be written or the process does not
 // start.
-func NewHost(program, dir string, number int, store *Proxy) (*Host, error) {
-	ip := loopbackIP(number)
+func NewHost(program, dir string, index int, store *Proxy) (*Host, error) {
+	ip := loopbackIP(index)
 	address := func(offset int) string { return fmt.Sprintf("%s:%d", ip, basePort+offset) }
 	h := &Host{
-		name: fmt.Sprintf("entry-%d", number), program: program, dir: dir, publicAddress: address(0), internalAddress: address(2), storeProxy: store, done: make(chan struct{}),
-		settings: filepath.Join(dir, fmt.Sprintf("entry-%d.yaml", number)),
+		name: fmt.Sprintf("entry-%d", index), program: program, dir: dir, publicAddress: address(0), internalAddress: address(2), storeProxy: store, done: make(chan struct{}),
+		settings: filepath.Join(dir, fmt.Sprintf("entry-%d.yaml", index)),
 	}
 	text := standin.Settings(standin.HostSpec{
-		Host: h.name, FailureDomain: string("ab"[number%2]), IP: ip, Callers: address(0), Readiness: address(1), Inner: basePort + 2,
+		Host: h.name, FailureDomain: string("ab"[index%2]), IP: ip, Callers: address(0), Readiness: address(1), Inner: basePort + 2,
 		Store: store.Address(), Revoke: verdict.MaxRevocationDelay,
 	})
 	if err := os.WriteFile(h.settings, text, 0o600); err != nil {
--- a/soak/internal/rig/upstream.go
+++ b/soak/internal/rig/upstream.go
@@ -19,25 +19,27 @@
 // An Upstream is a stand-in runner behind a proxy. After a crash or a drain it is started again as
 // another incarnation, with its own id, runner and proxy.
 type Upstream struct {
-	service    string
-	number     int
-	store      *standin.Store
-	mu         sync.Mutex
-	runner     *standin.Runner
-	id         string
+	service string
+	index   int
+	store   *standin.Store
+	mu      sync.Mutex
+	runner  *standin.Runner
+	id      string
+	// state is "ready" or "draining", or empty after a crash.
 	state      string
 	heartbeats int
 	server     *http.Server
 	proxy      *Proxy
-	runners    []*standin.Runner
-	ids        []string
-	stop       chan struct{}
+	// runners and ids are those of all incarnations.
+	runners []*standin.Runner
+	ids     []string
+	stop    chan struct{}
 }
 
 // NewUpstream starts the first incarnation of an upstream of a service, and its heartbeat. It
 // returns an error if a listener cannot be opened.
-func NewUpstream(store *standin.Store, service string, number int) (*Upstream, error) {
-	u := &Upstream{service: service, number: number, store: store, stop: make(chan struct{})}
+func NewUpstream(store *standin.Store, service string, index int) (*Upstream, error) {
+	u := &Upstream{service: service, index: index, store: store, stop: make(chan struct{})}
 	if err := u.Start(); err != nil {
 		return nil, err
 	}
@@ -67,7 +69,7 @@
 		return err
 	}
 	u.mu.Lock()
-	u.id = fmt.Sprintf("%s-%d-%d", u.service, u.number, len(u.runners))
+	u.id = fmt.Sprintf("%s-%d-%d", u.service, u.index, len(u.runners))
 	u.runner = standin.NewRunner(u.id, 8)
 	u.runners, u.ids = append(u.runners, u.runner), append(u.ids, u.id)
 	u.server, u.proxy, u.state = &http.Server{Handler: u.runner}, proxy, "ready"
--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -17,7 +17,7 @@
 	faults    map[string]Silence
 }
 
-// A Silence is a fault of a process that leaves its connections open.
+// A Silence is what makes a process unresponsive while its connections stay open.
 type Silence string
 
 // The faults.
@@ -25,7 +25,8 @@
 	// Frozen processes hang: connections to them are still accepted, as by the kernel, but all data
 	// is lost.
 	Frozen Silence = "frozen"
-	// Cut processes are partitioned from all others: dialling blocks, and all data is lost.
+	// Cut processes cannot reach any other process, nor be reached: dialling blocks, and all data
+	// is lost.
 	Cut Silence = "cut"
 )
 
