--- a/soak/internal/verdict/checks.go
+++ b/soak/internal/verdict/checks.go
@@ -17,7 +17,7 @@
 	MaxRevocationDelay = 5 * time.Second
 	// MaxDrainDelay is how long a draining upstream may get new requests.
 	MaxDrainDelay = 2 * time.Second
-	// timingSlack is added to time bounds, as all processes share one machine.
+	// timingSlack is added to MaxConfigDelay and MaxDrainDelay, as all processes share one machine.
 	timingSlack = 500 * time.Millisecond
 	// MaxRetryRatio and retryBurst bound the retries of all hosts together.
 	MaxRetryRatio = 0.2
