--- a/common/traffic/configuration.go
+++ b/common/traffic/configuration.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// A Workspace is a customer whose requests carry one of its keys.
+// A Workspace is a customer, identified by the API key that its requests carry.
 type Workspace struct {
 	Name string
-	// Urgency is the workspace's rank; 0 is the most urgent. It goes before a route's.
+	// Urgency ranks the workspace's requests, 0 being the most urgent; it is compared before the
+	// route's.
 	Urgency int
 }
 
-// A Pool is upstreams that answer the same requests.
+// A Pool is a group of interchangeable upstreams.
 type Pool struct {
 	Name       string
 	HealthPath string
-	// MaxConnections bounds the connections to each upstream, from all hosts together.
+	// MaxConnections limits the connections to each upstream, summed over all hosts.
 	MaxConnections int
 	// Engine reports whether the upstreams are model engines.
 	Engine bool
-	// Slots is how many requests an engine works on at once; 0 if not known.
+	// Slots is the number of requests an engine runs concurrently; 0 if unknown.
 	Slots int
-	// CacheTokens is the memory of an engine for cached and running prompts, in tokens.
+	// CacheTokens is an engine's memory for cached and running prompts, in tokens.
 	CacheTokens int64
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size and the duration of what a client sends.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -36,33 +37,33 @@
 	IdleTimeout   time.Duration
 }
 
-// A Configuration is one immutable version of what operators state.
+// A Configuration is one immutable version of the operators' configuration.
 type Configuration struct {
-	version    int64
-	routes     map[string][]*Route
-	pools      map[string]Pool
-	limits     Limits
-	workspaces map[string]Workspace
-	keyed      bool
-	document   []byte
+	version     int64
+	routes      map[string][]*Route
+	pools       map[string]Pool
+	limits      Limits
+	workspaces  map[string]Workspace
+	keyRequired bool
+	document    []byte
 }
 
-// ConfigurationInput is what a configuration is made from.
+// ConfigurationInput holds the parts of a new Configuration.
 type ConfigurationInput struct {
 	Version int64
 	Routes  []Route
 	Pools   []Pool
 	Limits  Limits
-	// Keys gives the workspace of each key; nil means that no key is asked for.
+	// Keys maps each API key to its workspace; nil means that requests need no key.
 	Keys map[string]Workspace
-	// Document is what the configuration was decoded from.
+	// Document is the encoded form that the configuration was decoded from.
 	Document []byte
 }
 
-// NewConfiguration returns a configuration.
+// NewConfiguration returns a configuration that indexes the routes by host and the pools by name.
 func NewConfiguration(in ConfigurationInput) *Configuration {
 	c := &Configuration{
-		version: in.Version, limits: in.Limits, workspaces: in.Keys, keyed: in.Keys != nil, document: in.Document,
+		version: in.Version, limits: in.Limits, workspaces: in.Keys, keyRequired: in.Keys != nil, document: in.Document,
 		routes: map[string][]*Route{}, pools: map[string]Pool{},
 	}
 	for _, p := range in.Pools {
@@ -74,52 +75,53 @@
 		c.routes[host] = append(c.routes[host], r)
 	}
 	for _, routes := range c.routes {
-		// The longest prefix that fits is then the first one.
+		// Longest prefix first, so that the first match is the longest.
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	return c
 }
 
-// Version returns the version's number; later versions have higher ones.
+// Version returns the version number, which grows with every version.
 func (c *Configuration) Version() int64 { return c.version }
 
-// Document returns what the configuration was decoded from, to be passed on to
-// other hosts; it must not be changed.
+// Document returns the encoded form that the configuration was decoded from, for forwarding to
+// other hosts; callers must not modify it.
 func (c *Configuration) Document() []byte { return c.document }
 
-// Limits returns the bounds on callers.
+// Limits returns the limits on client requests.
 func (c *Configuration) Limits() Limits { return c.limits }
 
-// Pool returns what is known of a pool.
+// Pool returns the pool with the given name, and false if there is none.
 func (c *Configuration) Pool(name string) (Pool, bool) {
 	p, ok := c.pools[name]
 	return p, ok
 }
 
-// Match returns the route of a host with the longest prefix of a path, or false if there is none.
+// Match returns the route of a request host with the longest prefix of path, and false if there is
+// none.
 func (c *Configuration) Match(host, path string) (*Route, bool) {
 	for _, r := range c.routes[strings.ToLower(host)] {
-		if r.covers(path) {
+		if r.matches(path) {
 			return r, true
 		}
 	}
 	return nil, false
 }
 
-// Keyed reports whether requests need a key.
-func (c *Configuration) Keyed() bool { return c.keyed }
+// Keyed reports whether requests need an API key.
+func (c *Configuration) Keyed() bool { return c.keyRequired }
 
-// Workspace returns the workspace that a key belongs to, or false for an unknown key.
+// Workspace returns the workspace of an API key, and false if the key is unknown.
 func (c *Configuration) Workspace(key string) (Workspace, bool) {
 	w, ok := c.workspaces[key]
 	return w, ok
 }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (c *Configuration) Routes() int {
-	n := 0
+	count := 0
 	for _, routes := range c.routes {
-		n += len(routes)
+		count += len(routes)
 	}
-	return n
+	return count
 }
--- a/common/traffic/doc.go
+++ b/common/traffic/doc.go
@@ -1,4 +1,5 @@
-// Package traffic holds what the product knows of requests, routes and
-// upstreams, whatever protocol they come by. A protocol's adapter decodes its
-// messages into these types; every decision is made on them.
+// Package traffic defines the protocol-independent types for requests, responses, routes, upstreams
+// and the configuration. Protocol adapters decode their messages into these types; membership,
+// placement, admission and the relay make their decisions on them. It also matches requests to
+// routes, picks a route's pool by weight and hashes upstream identifiers.
 package traffic
--- a/common/traffic/position.go
+++ b/common/traffic/position.go
@@ -2,22 +2,22 @@
 
 import "cmp"
 
-// A LogPosition is how far a topic of the store is known. The store may come back from an older copy of
-// itself and give offsets out again, so that those of different eras do not compare.
+// A LogPosition is a read position in a topic of the platform's store. The store may be restored
+// from an older backup and then assigns offsets again, so offsets compare only within one era.
 type LogPosition struct {
-	// Era counts how often the store has come back from an older copy.
+	// Era counts the restores of the store from an older backup.
 	Era int64
-	// Offset is that of the next record.
+	// Offset is the offset of the next record to read.
 	Offset int64
 }
 
-// IsZero reports whether nothing is known.
+// IsZero reports whether nothing was read yet.
 func (p LogPosition) IsZero() bool { return p == LogPosition{} }
 
-// Before reports whether less is known at a position than at another one.
+// Before reports whether p is behind other.
 func (p LogPosition) Before(other LogPosition) bool { return p.Compare(other) < 0 }
 
-// Compare orders positions: all of a later era come after those of an earlier one.
+// Compare orders positions by era first, then by offset.
 func (p LogPosition) Compare(other LogPosition) int {
 	return cmp.Or(cmp.Compare(p.Era, other.Era), cmp.Compare(p.Offset, other.Offset))
 }
--- a/common/traffic/request.go
+++ b/common/traffic/request.go
@@ -6,32 +6,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Part is one piece of a prompt that an engine may have cached.
+// A Part is one segment of a prompt, the unit in which engines cache prompts.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// A Request is what an adapter reads from the head of a caller's request.
+// A Request is what a protocol adapter decodes from the head of a client's request.
 type Request struct {
-	// ID identifies this try of the caller; a caller that tries again takes another.
+	// ID identifies this attempt of the client; a retry by the client has another ID.
 	ID string
-	// Key is what the caller authenticates with; empty if it shows none.
+	// Key is the client's API key; empty if there is none.
 	Key string
-	// TimeLeft is how long the caller will wait; 0 if it does not say.
+	// TimeLeft is the client's timeout; 0 if the request states none.
 	TimeLeft time.Duration
-	// ResumeAfter is the last event that the caller has of an earlier answer; empty for none.
+	// ResumeAfter is the ID of the last event that the client has of an earlier response; empty for
+	// none.
 	ResumeAfter  string
 	Model        string
 	PromptTokens int
 	OutputTokens int
-	// Prompt is the prompt's parts in order; the last one belongs to this request or its chat alone.
+	// Prompt lists the prompt's parts in order; only this request or its chat has the last part.
 	Prompt []Part
 }
 
-// CacheKey returns the hash of the longest part of the prompt that other requests
-// may share, by which requests meet at the engine that has it cached, and false
-// if the request has no prompt.
+// CacheKey returns the hash of the longest prompt prefix that other requests may share, which
+// routes requests with the same prefix to the engine that has it cached, and false if there is no
+// prompt.
 func (r *Request) CacheKey() (uint64, bool) {
 	switch n := len(r.Prompt); n {
 	case 0:
@@ -43,7 +44,7 @@
 	}
 }
 
-// SharedTokens returns how long the part of the prompt is that other requests may share, in tokens.
+// SharedTokens returns the length of the prompt prefix that other requests may share, in tokens.
 func (r *Request) SharedTokens() int {
 	tokens := 0
 	for _, part := range r.Prompt[:max(len(r.Prompt)-1, min(len(r.Prompt), 1))] {
@@ -52,49 +53,53 @@
 	return tokens
 }
 
-// A Hop is what a host adds to a request that it passes on to an upstream.
+// A Hop is the metadata that a host adds to a request that it forwards to an upstream.
 type Hop struct {
-	// Upstream is the incarnation that alone may execute the request.
+	// Upstream identifies the only incarnation that may execute the request.
 	Upstream string
-	// Workspace is whom the caller's key belongs to; empty if it showed none.
+	// Workspace is the name of the workspace of the client's key; empty if there was no key.
 	Workspace string
-	// TimeLeft is how long the answer is of use.
+	// TimeLeft is the remaining time until the client gives up.
 	TimeLeft time.Duration
-	// Urgency is from 0, the most urgent, to 9.
+	// Urgency ranges from 0, the most urgent, to 9.
 	Urgency int
-	// ResumeAfter is the last event that was delivered; empty for none.
+	// ResumeAfter is the ID of the last event delivered to the client; empty for none.
 	ResumeAfter string
-	// FetchFrom is the address of another engine that may have more of the prompt
-	// cached; empty for none.
+	// FetchFrom is the address of another engine that may have a longer prefix of the prompt
+	// cached, to copy it from; empty for none.
 	FetchFrom string
 }
 
-// A Load is what an upstream says of its work.
+// A Load is the load that an upstream reports, in requests.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// An Answer is what an adapter reads from the head of an upstream's answer.
+// An Answer is what a protocol adapter decodes from the head of an upstream's response.
 type Answer struct {
-	// ID is the request that the upstream says it answers; empty if it does not say.
+	// ID is the ID of the request that the response is for; empty if the response states none.
 	ID string
-	// NotRun is the upstream's word that it did not execute the request and never will.
+	// NotRun reports that the upstream did not execute the request and never will, so that it may
+	// be retried.
 	NotRun bool
-	// Upstream is the incarnation that answers, where the answer names it.
+	// Upstream identifies the responding incarnation; empty if the response states none.
 	Upstream string
-	// Sealed answers carry the upstream's signature; a success without one is none.
+	// Sealed reports that the response has the upstream's signature; a success without one does not
+	// count.
 	Sealed bool
-	// Events reports whether the body is a stream of events.
+	// Events reports whether the body is an event stream.
 	Events bool
-	// Load is nil if the upstream does not tell its load.
+	// Load is nil if the upstream does not report its load.
 	Load *Load
-	// Leaving is the upstream's word that it leaves, which its entry may not say yet.
+	// Leaving reports that the upstream drains, which its entry in the platform's list may not say
+	// yet.
 	Leaving bool
-	// WantsNoneFor is for how long the upstream, which turned the request away, wants no others from
-	// this host; 0 if it does not say.
+	// WantsNoneFor is how long the upstream, which rejected this request, wants no further ones
+	// from this host; 0 if the response states none.
 	WantsNoneFor time.Duration
-	// IdleTimeout is when the upstream closes the connection if nothing is sent on it; 0 if it does not say.
+	// IdleTimeout is how long the upstream keeps an idle connection open; 0 if the response states
+	// none.
 	IdleTimeout time.Duration
 }
--- a/common/traffic/upstream.go
+++ b/common/traffic/upstream.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// A State is what an upstream says of itself.
+// A State is the lifecycle state that an upstream reports.
 type State string
 
 // The states of an upstream.
@@ -11,98 +11,99 @@
 	Leaving State = "leaving"
 )
 
-// An Upstream is one incarnation of a model engine or plain service. After a
-// restart it is another upstream, perhaps at the same address, and some keep their
-// identifier.
+// An Upstream is one incarnation of a model engine or plain service. A restart makes it another
+// upstream, which may have the same address; some upstreams also keep their identifier.
 type Upstream struct {
 	ID string
-	// Incarnation is when it started.
+	// Incarnation tells restarts apart that keep the identifier.
 	Incarnation Incarnation
-	// Hash is HashOf the identifier.
+	// Hash is HashOf(ID).
 	Hash          uint64
 	Pool          string
 	Address       string
 	FailureDomain string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
 	State State
-	// Sequence orders what one incarnation says of itself; what has a lower one is older.
+	// Sequence orders the reports of one incarnation; a report with a lower number is older.
 	Sequence int64
-	// Models names the models that it has loaded; empty means that it says nothing of models.
+	// Models lists the loaded models; empty means that the upstream reports none and may serve any.
 	Models []string
 }
 
-// An Incarnation tells the starts of an upstream that keeps its identifier apart: it is
-// the Unix millisecond of the start, higher for a later one, and 0 if the upstream does
-// not say.
+// An Incarnation is the start time of an upstream in Unix milliseconds, 0 if it reports none. It
+// tells restarts apart that keep the identifier; a later one is higher.
 type Incarnation int64
 
-// A Start names one start of an upstream. What was learnt of one start, such as what it
-// has cached or how it failed, says nothing of another one.
+// A Start identifies one incarnation of an upstream. State learnt about one incarnation, such as
+// its cache contents or failures, does not apply to another.
 type Start struct {
 	ID          string
 	Incarnation Incarnation
 }
 
-// Start returns which start of the upstream this is.
+// Start returns the identity of this incarnation.
 func (u *Upstream) Start() Start { return Start{ID: u.ID, Incarnation: u.Incarnation} }
 
-// HashOf returns the hash by which an upstream of an identifier is ranked and named between hosts.
+// HashOf returns the hash of an upstream identifier, by which hosts rank upstreams and name them to
+// each other.
 func HashOf(id string) uint64 { return xxhash.Sum64String(id) }
 
-// incarnationFactor spreads incarnations, which differ little, over 32 bits: it is 2^32
-// over the golden ratio, made odd.
+// incarnationFactor spreads incarnations, which differ in few low bits, over 32 bits (Fibonacci
+// hashing: 2^32 divided by the golden ratio, rounded to an odd number).
 const incarnationFactor = 2654435769
 
-// ShortHash returns the number by which hosts name the start of an upstream to each other.
-// Of 880 upstreams two have the same one in one of 10,000 fleets, and then count as one.
+// ShortHash returns the 32-bit hash by which hosts name an incarnation of an upstream to each
+// other. With 880 upstreams, one fleet in 10,000 has a collision; the two upstreams then count as
+// one.
 func (u *Upstream) ShortHash() uint32 {
 	return uint32(u.Hash) ^ uint32(u.Incarnation)*incarnationFactor
 }
 
-// Serves reports whether the upstream can answer requests for a model; an empty name is any model.
+// Serves reports whether the upstream can serve requests for a model; an empty name stands for any
+// model.
 func (u *Upstream) Serves(model string) bool {
 	if model == "" || len(u.Models) == 0 {
 		return true
 	}
-	for _, m := range u.Models {
-		if m == model {
+	for _, loaded := range u.Models {
+		if loaded == model {
 			return true
 		}
 	}
 	return false
 }
 
-// An UpstreamEntry is what the platform's list says of one upstream.
+// An UpstreamEntry is one upstream's entry in the platform's list.
 type UpstreamEntry struct {
 	ID string
 	// Upstream is nil if the upstream is no longer listed.
 	Upstream *Upstream
-	// Unusable is set if that is because what stands in the entry's place describes no upstream.
+	// Unusable is set if Upstream is nil because the entry's content does not describe an upstream.
 	Unusable bool
 }
 
-// An UpstreamChange is what has changed of the upstreams between two looks at the platform's list.
+// An UpstreamChange is the difference between two reads of the platform's list of upstreams.
 type UpstreamChange struct {
-	// Whole is set if Entries is the complete list, so that whatever it lacks is gone.
+	// Whole is set if Entries is the complete list, so that upstreams missing from it were removed.
 	Whole bool
-	// Restored is set if the list is that of an older copy, from which the platform's list has come back: upstreams that
-	// it lacks may have come since.
+	// Restored is set if the list was restored from an older backup; upstreams missing from it may
+	// have been added after that backup.
 	Restored bool
-	// Entries stand in the order in which they were written: of two on one upstream the later holds.
+	// Entries are in the order in which they were written; the last one for an upstream holds.
 	Entries []UpstreamEntry
-	// Skipped are the errors of entries that could not be read.
+	// Skipped holds one error for each entry that could not be decoded.
 	Skipped []error
 }
 
-// Listed returns the entry of an upstream that is listed.
+// Listed returns the entry of a listed upstream, with its Hash set.
 func Listed(u Upstream) UpstreamEntry {
 	u.Hash = HashOf(u.ID)
 	return UpstreamEntry{ID: u.ID, Upstream: &u}
 }
 
-// Unusable returns the entry of an upstream in whose place something else was written.
+// Unusable returns an entry whose content does not describe an upstream.
 func Unusable(id string) UpstreamEntry { return UpstreamEntry{ID: id, Unusable: true} }
 
-// Gone returns the entry of an upstream that is no longer listed.
+// Gone returns the entry of an upstream that was removed from the list.
 func Gone(id string) UpstreamEntry { return UpstreamEntry{ID: id} }
