--- a/common/peers/client.go
+++ b/common/peers/client.go
@@ -15,40 +15,41 @@
 
 const dialTimeout = time.Second
 
-// A Client calls other processes of the fleet and keeps one connection to each.
+// A Client makes RPC calls to other processes of the fleet over one persistent connection per
+// address.
 type Client struct {
-	proof [sha256.Size]byte
-	dial  Dial
-	wire  wire.Counter
-	mu    sync.Mutex
-	conns map[string]*rpc.Client
+	secretHash [sha256.Size]byte
+	dial       Dial
+	bytes      wire.Counter
+	mu         sync.Mutex
+	conns      map[string]*rpc.Client
 }
 
-// A Dial makes a connection to an address.
+// A Dial opens a connection to an address, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClient returns a client that proves that it knows the fleet's secret.
+// NewClient returns a client that authenticates with the fleet's shared secret.
 func NewClient(secret string) *Client {
 	return NewClientOf(secret, (&net.Dialer{Timeout: dialTimeout}).DialContext)
 }
 
-// NewClientOf returns such a client that makes its connections by a function.
+// NewClientOf returns a client that opens its connections with the dial function given.
 func NewClientOf(secret string, dial Dial) *Client {
-	return &Client{proof: sha256.Sum256([]byte(secret)), dial: dial, conns: map[string]*rpc.Client{}}
+	return &Client{secretHash: sha256.Sum256([]byte(secret)), dial: dial, conns: map[string]*rpc.Client{}}
 }
 
-// Bytes returns how many bytes the client's connections have carried both ways.
+// Bytes returns the number of bytes sent and received on the client's connections.
 func (c *Client) Bytes() int64 {
-	return c.wire.Bytes()
+	return c.bytes.Bytes()
 }
 
-// Call makes one call and gives up when ctx ends; it may then have taken effect.
+// Call makes one RPC call and returns an error when ctx ends; the call may have taken effect then.
 func (c *Client) Call(ctx context.Context, address, method string, args, reply any) error {
 	conn, err := c.connect(ctx, address)
 	if err != nil {
 		return fmt.Errorf("call %s at %s: %w", method, address, err)
 	}
-	// A write does not return while the other side reads nothing; closing the connection ends it.
+	// A write blocks while the server reads nothing; closing the connection unblocks it.
 	stop := context.AfterFunc(ctx, func() { c.drop(address, conn) })
 	defer stop()
 	call := conn.Go(method, args, reply, make(chan *rpc.Call, 1))
@@ -64,9 +65,10 @@
 	if ctx.Err() != nil {
 		err = ctx.Err()
 	}
-	var answered rpc.ServerError
-	if !errors.As(err, &answered) {
-		// The connection may be dead; a paused host would hold every later call too.
+	var serverErr rpc.ServerError
+	if !errors.As(err, &serverErr) {
+		// The connection may be dead; if the host is paused, every later call on it would block
+		// too.
 		c.drop(address, conn)
 	}
 	return fmt.Errorf("call %s at %s: %w", method, address, err)
@@ -77,7 +79,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, conn := range c.conns {
-		// A connection that is already dead is as good as closed.
+		// An error means that the connection is closed already.
 		_ = conn.Close()
 		delete(c.conns, address)
 	}
@@ -90,15 +92,15 @@
 	if ok {
 		return conn, nil
 	}
-	raw, err := c.dial(ctx, "tcp", address)
+	netConn, err := c.dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.prove(ctx, raw); err != nil {
-		_ = raw.Close()
+	if err := c.authenticate(ctx, netConn); err != nil {
+		_ = netConn.Close()
 		return nil, err
 	}
-	conn = rpc.NewClient(c.wire.Conn(raw))
+	conn = rpc.NewClient(c.bytes.Conn(netConn))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if other, ok := c.conns[address]; ok {
@@ -109,16 +111,17 @@
 	return conn, nil
 }
 
-// prove tells the other side that this one knows the fleet's secret.
-func (c *Client) prove(ctx context.Context, raw net.Conn) error {
-	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
+// authenticate sends the hash of the fleet's secret, with which every connection begins.
+func (c *Client) authenticate(ctx context.Context, netConn net.Conn) error {
+	stop := context.AfterFunc(ctx, func() { _ = netConn.Close() })
 	defer stop()
-	if _, err := raw.Write(c.proof[:]); err != nil {
+	if _, err := netConn.Write(c.secretHash[:]); err != nil {
 		return errors.Join(ctx.Err(), err)
 	}
 	return nil
 }
 
+// drop closes a connection, so that the next call to the address opens another.
 func (c *Client) drop(address string, conn *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/common/peers/messages.go
+++ b/common/peers/messages.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// A Row is the load of one upstream as its owner counts it, named by hash.
+// A Row is the load of one upstream, named by the hash of its name, as counted by its owner host.
 type Row struct {
 	Upstream uint64
-	Load     int64
+	Load     int64 // in tokens
 	Age      time.Duration
-	// Gone means that the sender's host list no longer has the upstream, or that it failed.
+	// Gone reports that the upstream failed or is no longer in the sender's host list.
 	Gone bool
 }
 
-// Rows are rows column by column, which takes two thirds of the bytes on the wire.
+// Rows holds rows as columns, which take two thirds of the bytes of a slice of structs on the wire.
 type Rows struct {
 	Upstreams []uint64
 	Loads     []int64
 	AgeMillis []uint32
 }
 
-// Pack returns rows column by column.
+// Pack converts rows to columns.
 func Pack(rows []Row) Rows {
-	var r Rows
+	var columns Rows
 	for _, row := range rows {
-		r.Upstreams = append(r.Upstreams, row.Upstream)
-		r.Loads = append(r.Loads, row.Load)
-		r.AgeMillis = append(r.AgeMillis, uint32(row.Age/time.Millisecond))
+		columns.Upstreams = append(columns.Upstreams, row.Upstream)
+		columns.Loads = append(columns.Loads, row.Load)
+		columns.AgeMillis = append(columns.AgeMillis, uint32(row.Age/time.Millisecond))
 	}
-	return r
+	return columns
 }
 
-// Unpack returns the rows, or none if the columns differ in length.
+// Unpack converts columns to rows; it returns none if the columns differ in length.
 func (r Rows) Unpack() []Row {
 	if len(r.Loads) != len(r.Upstreams) || len(r.AgeMillis) != len(r.Upstreams) {
 		return nil
@@ -41,62 +41,66 @@
 	return rows
 }
 
-// ExchangeArgs are the rows that one owner in a pool sends another.
+// ExchangeArgs holds the loads that one owner host of a pool sends to another.
 type ExchangeArgs struct {
 	Pool string
 	Rows Rows
 }
 
-// ExchangeReply holds the rows of the other owner.
+// ExchangeReply holds the loads that the receiving owner host returns.
 type ExchangeReply struct {
 	Rows Rows
 }
 
-// CheckpointReply is a host's folded configuration as JSON; Whole says whether it has one.
+// CheckpointReply holds a host's configuration checkpoint as JSON. Whole is false if the host has
+// no complete one.
 type CheckpointReply struct {
 	Whole      bool
 	Checkpoint []byte
 }
 
-// RevisionReply says which revision of the configuration is in force on a host.
+// RevisionReply holds the revision of the configuration in force on a host.
 type RevisionReply struct {
 	Host     string
 	Revision int64
 }
 
-// ClaimArgs ask the owner of a key's partition to claim the key; hashes only, never the key or the body.
+// ClaimArgs asks the owner of an idempotency key's partition to claim the key. Key and Body are
+// hashes, never the key or the request body itself; Claim identifies the claim.
 type ClaimArgs struct {
 	Claim string
 	Key   string
 	Body  string
 }
 
-// A ClaimState is what the log says of a key.
+// A ClaimState is the state of an idempotency key in the claim log.
 type ClaimState string
 
-// The states of a claimed key.
+// The states of an idempotency key.
 const (
-	// Granted means that the claim asked about is the key's first.
+	// Granted means that this claim is the key's first, so that its host executes the request.
 	Granted ClaimState = "granted"
-	// Running means that another claim is first and has no outcome yet.
+	// Running means that an earlier claim holds the key and has no outcome yet.
 	Running ClaimState = "running"
-	// Finished means that the first claim was executed.
+	// Finished means that the request of the first claim was executed.
 	Finished ClaimState = "finished"
-	// Uncertain means that the first claim may have been executed.
+	// Uncertain means that the request of the first claim may have been executed.
 	Uncertain ClaimState = "uncertain"
-	// Unready means that the ledger cannot be read now, so that nothing was claimed.
+	// Unready means that the ledger is not readable at present, so that nothing was claimed.
 	Unready ClaimState = "unready"
-	// Mismatch means that the key was claimed for another body.
+	// Mismatch means that the key was claimed for a different request body.
 	Mismatch ClaimState = "mismatch"
 )
 
-// ClaimReply is the state of a key after a claim, with the answer if it was kept.
+// ClaimReply holds the state of a key after a claim, and the response to the first claim if it was
+// stored.
 type ClaimReply struct {
 	State  ClaimState
 	Answer []byte
 }
 
-// CloseArgs end a claim: void if it was never executed, else with its outcome.
+// CloseArgs closes a claim. Void reports that its request was not and will not be executed;
+// otherwise State and Answer hold the outcome and the response. Key and Body are hashes.
 type CloseArgs struct {
 	Claim  string
 	Key    string
@@ -106,10 +110,10 @@
 	Answer []byte
 }
 
-// Nothing is the argument or reply of a call that needs none.
+// Nothing is the empty argument or reply of a call.
 type Nothing struct{}
 
-// The names of the calls.
+// The service and method names of the RPC calls.
 const (
 	ExchangeCall   = "Control.Exchange"
 	CheckpointCall = "Control.Checkpoint"
