--- a/common/targets/document.go
+++ b/common/targets/document.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// An Urgency orders classes of work relative to each other.
+// An Urgency is the priority level of a class.
 type Urgency string
 
 // The urgencies, most urgent first.
@@ -18,7 +18,7 @@
 	Batch  Urgency = "batch"
 )
 
-// Rank returns 0 for the most urgent class of work and more for less urgent ones.
+// Rank returns 0 for the most urgent level and higher numbers for less urgent ones.
 func (u Urgency) Rank() int {
 	switch u {
 	case Urgent:
@@ -33,40 +33,44 @@
 // A Kind tells model engines from plain services.
 type Kind string
 
-// The kinds of upstream.
+// The kinds of upstreams.
 const (
 	Engine  Kind = "engine"
 	Service Kind = "service"
 )
 
-// A Duration is a time.Duration written in JSON as text, such as "720ms".
+// A Duration is a time.Duration that is encoded in JSON as text, such as "720ms".
 type Duration time.Duration
 
-// MarshalText returns the duration as text.
+// MarshalText encodes the duration as text, such as "720ms".
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads a duration such as "720ms".
+// UnmarshalText decodes text such as "720ms".
 func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("read duration: %w", err)
 	}
-	*d = Duration(v)
+	*d = Duration(parsed)
 	return nil
 }
 
-// A Class is a class of work and its target.
+// A Class is a class of requests with its latency target and priority.
 type Class struct {
+	// FirstTokenWithin is the latency target for the first token.
 	FirstTokenWithin Duration `json:"first-token-within"`
-	Share            float64  `json:"share"`
-	Urgency          Urgency  `json:"urgency"`
-	Idempotent       bool     `json:"idempotent"`
-	Worth            float64  `json:"worth,omitempty"`
+	// Share is the fraction of an engine's capacity guaranteed to the class while classes compete.
+	Share   float64 `json:"share"`
+	Urgency Urgency `json:"urgency"`
+	// Idempotent requests may be executed more than once; the others need an idempotency key.
+	Idempotent bool `json:"idempotent"`
+	// Worth is accepted and validated, but entry hosts do not use it.
+	Worth float64 `json:"worth,omitempty"`
 }
 
-// A Workspace is a customer: its token's hash and the classes it may use.
+// A Workspace is a customer: the hash of its bearer token and the classes that it may use.
 type Workspace struct {
 	TokenSHA256 string   `json:"token-sha256"`
 	Classes     []string `json:"classes"`
@@ -74,8 +78,8 @@
 
 // Allows reports whether the workspace may use a class.
 func (w Workspace) Allows(class string) bool {
-	for _, c := range w.Classes {
-		if c == class {
+	for _, allowed := range w.Classes {
+		if allowed == class {
 			return true
 		}
 	}
@@ -87,23 +91,25 @@
 	return subtle.ConstantTimeCompare([]byte(HashToken(token)), []byte(w.TokenSHA256)) == 1
 }
 
-// HashToken returns the form in which a workspace's bearer token stands in the configuration.
+// HashToken returns the SHA-256 hash of a bearer token in hexadecimal, as the configuration stores
+// it.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// A Model is a model or service that callers may name.
+// A Model is a model or plain service that clients may request by name.
 type Model struct {
 	Kind Kind `json:"kind"`
-	// LoadMultiple is the most that an engine may carry, as a multiple of the mean load; 0 means DefaultLoadMultiple.
+	// LoadMultiple is the maximum load of an engine as a multiple of the pool's mean load (the
+	// factor of consistent hashing with bounded loads); 0 means DefaultLoadMultiple.
 	LoadMultiple float64 `json:"load-multiple,omitempty"`
 }
 
-// DefaultLoadMultiple is the load multiple of a model that states none.
+// DefaultLoadMultiple is the load multiple of models that set none.
 const DefaultLoadMultiple = 1.25
 
-// Multiple returns the model's load multiple.
+// Multiple returns the model's load multiple, or the default if it sets none.
 func (m Model) Multiple() float64 {
 	if m.LoadMultiple == 0 {
 		return DefaultLoadMultiple
--- a/common/targets/validate.go
+++ b/common/targets/validate.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	maxNameBytes      = 64
-	maxShareSum       = 1.0001
-	tokenHashChars    = 64
-	maxFirstToken     = 24 * time.Hour
-	minLoadMultiple   = 1.05
-	maxLoadMultiple   = 4
-	maxEntriesPerKind = 10_000
+	maxNameBytes        = 64
+	maxShareSum         = 1.0001 // above 1 to tolerate rounding errors
+	tokenHashLength     = 64
+	maxFirstTokenTarget = 24 * time.Hour
+	minLoadMultiple     = 1.05
+	maxLoadMultiple     = 4
+	maxEntriesPerKind   = 10_000
 )
 
-// A FieldError names the field of a configuration that is wrong and says why.
+// A FieldError is a validation error of one field of a configuration or of settings.
 type FieldError struct {
 	Field   string
 	Problem string
 }
 
-// Error returns the field and its problem.
+// Error returns the field and its problem, separated by a colon.
 func (e *FieldError) Error() string {
 	return e.Field + ": " + e.Problem
 }
 
-// Validate returns a FieldError for the first field, in name order, that is wrong.
+// Validate returns a FieldError for the first invalid field: classes first, then workspaces, then
+// models, each by name.
 func (d Document) Validate() error {
 	if err := d.validateClasses(); err != nil {
 		return err
@@ -40,7 +41,7 @@
 }
 
 func (d Document) validateClasses() error {
-	sum := 0.0
+	shareSum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		field := "classes." + name
 		if err := validateName(field, name, len(d.Classes)); err != nil {
@@ -50,16 +51,16 @@
 		if err := c.validate(field); err != nil {
 			return err
 		}
-		sum += c.Share
+		shareSum += c.Share
 	}
-	if sum > maxShareSum {
-		return &FieldError{Field: "classes", Problem: fmt.Sprintf("the shares add up to %.3f, more than 1", sum)}
+	if shareSum > maxShareSum {
+		return &FieldError{Field: "classes", Problem: fmt.Sprintf("the shares add up to %.3f, more than 1", shareSum)}
 	}
 	return nil
 }
 
 func (c Class) validate(field string) error {
-	if c.FirstTokenWithin <= 0 || time.Duration(c.FirstTokenWithin) > maxFirstToken {
+	if c.FirstTokenWithin <= 0 || time.Duration(c.FirstTokenWithin) > maxFirstTokenTarget {
 		return &FieldError{Field: field + ".first-token-within", Problem: "must be over 0 and at most 24h"}
 	}
 	if c.Share < 0 || c.Share > 1 {
@@ -81,7 +82,7 @@
 			return err
 		}
 		w := d.Workspaces[name]
-		if len(w.TokenSHA256) != tokenHashChars {
+		if len(w.TokenSHA256) != tokenHashLength {
 			return &FieldError{Field: field + ".token-sha256", Problem: "must be the 64 hexadecimal characters of a SHA-256 sum"}
 		}
 		for _, class := range w.Classes {
