--- a/common/journal/client.go
+++ b/common/journal/client.go
@@ -14,31 +14,33 @@
 	"jackdawhinge/common/wire"
 )
 
-// answerSlack is how long past a read's own wait the client still waits for the answer.
-const answerSlack = 5 * time.Second
+// responseTimeout limits the wait for a response, for reads in addition to the time that the
+// service may hold them for new records.
+const responseTimeout = 5 * time.Second
 
-// A Client is a connection to the log service over HTTP.
+// A Client calls the log service over HTTP.
 type Client struct {
-	base string
-	http *http.Client
-	wire wire.Counter
+	baseURL    string
+	httpClient *http.Client
+	bytes      wire.Counter
 }
 
-// NewClient returns a client of the log service at base, such as http://127.0.0.1:8470.
-func NewClient(base string) *Client {
-	c := &Client{base: base}
-	c.http = c.wire.Client()
+// NewClient returns a client of the log service at baseURL, such as http://127.0.0.1:8470.
+func NewClient(baseURL string) *Client {
+	c := &Client{baseURL: baseURL}
+	c.httpClient = c.bytes.NewHTTPClient()
 	return c
 }
 
-// Bytes returns how many bytes this client's connections have carried, both ways.
+// Bytes returns the number of bytes sent and received on the client's connections.
 func (c *Client) Bytes() int64 {
-	return c.wire.Bytes()
+	return c.bytes.Bytes()
 }
 
-// Append adds records to a stream in one atomic append and returns the offset of the first; after ErrUnavailable it may have taken effect.
+// Append appends records to a stream atomically and returns the offset of the first. After
+// ErrUnavailable the records may or may not have been appended.
 func (c *Client) Append(ctx context.Context, stream string, records ...json.RawMessage) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerSlack)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	body, err := json.Marshal(records)
 	if err != nil {
@@ -48,18 +50,20 @@
 	if err != nil {
 		return 0, fmt.Errorf("append to stream %s: %w", stream, err)
 	}
-	var answer struct {
+	var response struct {
 		Offset int64 `json:"offset"`
 	}
-	if err := c.do(req, stream, 0, &answer); err != nil {
+	if err := c.do(req, stream, 0, &response); err != nil {
 		return 0, fmt.Errorf("append to stream %s: %w", stream, err)
 	}
-	return answer.Offset, nil
+	return response.Offset, nil
 }
 
-// Read returns the records of a stream from an offset on, waiting up to wait for the first new one.
+// Read returns the records of a stream from the offset from on. If there are none, the service
+// holds the request for up to wait until one is appended. If retention has removed the offset, it
+// returns a TrimmedError.
 func (c *Client) Read(ctx context.Context, stream string, from int64, wait time.Duration) (Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+answerSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+responseTimeout)
 	defer cancel()
 	query := url.Values{"from": {strconv.FormatInt(from, 10)}, "wait": {wait.String()}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(stream, query), http.NoBody)
@@ -74,11 +78,11 @@
 }
 
 func (c *Client) url(stream string, query url.Values) string {
-	return c.base + "/streams/" + url.PathEscape(stream) + "?" + query.Encode()
+	return c.baseURL + "/streams/" + url.PathEscape(stream) + "?" + query.Encode()
 }
 
-func (c *Client) do(req *http.Request, stream string, from int64, answer any) error {
-	resp, err := c.http.Do(req)
+func (c *Client) do(req *http.Request, stream string, from int64, result any) error {
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -89,7 +93,7 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return json.Unmarshal(body, answer)
+		return json.Unmarshal(body, result)
 	case http.StatusGone:
 		var batch Batch
 		if err := json.Unmarshal(body, &batch); err != nil {
--- a/common/peers/client.go
+++ b/common/peers/client.go
@@ -100,7 +100,7 @@
 		_ = netConn.Close()
 		return nil, err
 	}
-	conn = rpc.NewClient(c.bytes.Conn(netConn))
+	conn = rpc.NewClient(c.bytes.WrapConn(netConn))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if other, ok := c.conns[address]; ok {
--- a/common/peers/server.go
+++ b/common/peers/server.go
@@ -95,7 +95,7 @@
 	if !s.authenticate(conn) {
 		return
 	}
-	s.rpc.ServeConn(s.bytes.Conn(conn))
+	s.rpc.ServeConn(s.bytes.WrapConn(conn))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
--- a/common/roster/client.go
+++ b/common/roster/client.go
@@ -11,28 +11,30 @@
 	"jackdawhinge/common/wire"
 )
 
+// readTimeout limits one read of the host list.
 const readTimeout = 5 * time.Second
 
-// A Client is a reader of the host list over HTTP.
+// A Client reads the host list over HTTP.
 type Client struct {
-	url  string
-	http *http.Client
-	wire wire.Counter
+	url        string
+	httpClient *http.Client
+	bytes      wire.Counter
 }
 
 // NewClient returns a client of the host list at url.
 func NewClient(url string) *Client {
 	c := &Client{url: url}
-	c.http = c.wire.Client()
+	c.httpClient = c.bytes.NewHTTPClient()
 	return c
 }
 
-// Bytes returns how many bytes this client's connections have carried, both ways.
+// Bytes returns the number of bytes sent and received on the client's connections.
 func (c *Client) Bytes() int64 {
-	return c.wire.Bytes()
+	return c.bytes.Bytes()
 }
 
-// Read returns the list, and false if it is still the one with the entity tag given.
+// Read returns the list and its entity tag. It returns changed as false and no list if the list
+// still has the entity tag given.
 func (c *Client) Read(ctx context.Context, tag string) (list List, newTag string, changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -43,7 +45,7 @@
 	if tag != "" {
 		req.Header.Set("If-None-Match", tag)
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return List{}, "", false, fmt.Errorf("read host list: %w", err)
 	}
--- a/common/wire/doc.go
+++ b/common/wire/doc.go
@@ -1,2 +1,3 @@
-// Package wire counts the bytes that connections carry.
+// Package wire counts the bytes sent and received on connections. The clients and servers of the
+// control plane and of the platform's services use it to report their traffic.
 package wire
