--- a/common/journal/record.go
+++ b/common/journal/record.go
@@ -6,36 +6,38 @@
 	"fmt"
 )
 
-// MaxRecordBytes is the largest record that the log service takes.
+// MaxRecordBytes is the maximum size of a record that the log service accepts.
 const MaxRecordBytes = 1 << 20
 
-// ErrUnavailable says that the log service could not be asked, so that nothing is known of the call's effect.
+// ErrUnavailable is returned when the log service did not respond as expected, so that the effect
+// of the call is unknown.
 var ErrUnavailable = errors.New("log service unavailable")
 
-// ErrNewerFormat says that a record was written by a newer version of a program.
+// ErrNewerFormat is returned for a record written by a newer version of the software.
 var ErrNewerFormat = errors.New("record is of a newer format")
 
-// A Record is one entry of a stream, at the offset the log service gave it.
+// A Record is one entry of a stream with the offset that the log service assigned.
 type Record struct {
 	Offset int64           `json:"offset"`
 	Data   json.RawMessage `json:"data"`
 }
 
-// A Batch is what one read returned: records in offset order, the oldest offset still kept and the offset to read next.
+// A Batch is the result of one read: records in offset order, the earliest offset that retention
+// has kept, and the offset to read next.
 type Batch struct {
 	Records  []Record `json:"records"`
 	Earliest int64    `json:"earliest"`
 	Next     int64    `json:"next"`
 }
 
-// A TrimmedError says that retention has removed the records that a read asked for.
+// A TrimmedError is returned when retention has removed the records requested.
 type TrimmedError struct {
 	Stream   string
 	From     int64
 	Earliest int64
 }
 
-// Error returns what was asked and what is left.
+// Error returns the offset requested and the earliest one available.
 func (e *TrimmedError) Error() string {
 	return fmt.Sprintf("stream %s: offset %d was trimmed, the earliest kept is %d", e.Stream, e.From, e.Earliest)
 }
