--- a/common/roster/host.go
+++ b/common/roster/host.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// A Role says what a host does.
+// A Role is the function of a host in the fleet.
 type Role string
 
 // The roles of hosts.
@@ -11,16 +11,19 @@
 	Upstream  Role = "upstream"
 )
 
-// A State says whether a host takes new work.
+// A State states whether a host accepts new requests.
 type State string
 
 // The states of hosts.
 const (
-	Live    State = "live"
+	// Live hosts accept new requests.
+	Live State = "live"
+	// Leaving hosts are draining.
 	Leaving State = "leaving"
 )
 
-// A Host is one line of the platform's host list; addresses are IP numbers with ports.
+// A Host is one entry of the platform's host list. Its addresses consist of an IP address and a
+// port; Control is that of the control plane, and Capacity is the memory of an engine in tokens.
 type Host struct {
 	Name          string   `json:"name"`
 	Role          Role     `json:"role"`
@@ -32,13 +35,14 @@
 	Capacity      int64    `json:"capacity-tokens,omitempty"`
 }
 
-// Region returns the part of the failure domain before the slash, or all of it.
+// Region returns the part of the failure domain before the slash, or the whole failure domain
+// without one.
 func (h Host) Region() string {
 	region, _, _ := strings.Cut(h.FailureDomain, "/")
 	return region
 }
 
-// A List is one reading of the host list.
+// A List is one version of the host list.
 type List struct {
 	Version int64  `json:"version"`
 	Hosts   []Host `json:"hosts"`
