--- a/common/report/claims.go
+++ b/common/report/claims.go
@@ -2,35 +2,38 @@
 
 import "jackdawhinge/common/targets"
 
-// ClaimsPath is where a host tells what the log holds of one idempotency key.
+// ClaimsPath is the path that serves the claims on one idempotency key.
 const ClaimsPath = "/claims"
 
-// A ClaimState is what became of one claim.
+// A ClaimState is the state of one claim.
 type ClaimState string
 
 // The states of a claim.
 const (
-	// ClaimHolds means that it holds the key: it runs, or its host died while it did.
+	// ClaimHolds means that the claim holds the key: its request runs, or its host failed while it
+	// ran.
 	ClaimHolds ClaimState = "holds"
-	// ClaimVoid means that its host gave it up: it was not and will not be executed.
+	// ClaimVoid means that its host abandoned the claim: the request was not and will not be
+	// executed.
 	ClaimVoid ClaimState = "void"
-	// ClaimLost means that another claim came before it.
+	// ClaimLost means that another claim on the key preceded it.
 	ClaimLost ClaimState = "lost"
-	// ClaimFinished means that it was executed.
+	// ClaimFinished means that the request was executed.
 	ClaimFinished ClaimState = "finished"
-	// ClaimUncertain means that it may have been executed.
+	// ClaimUncertain means that the request may have been executed.
 	ClaimUncertain ClaimState = "uncertain"
 )
 
-// A Ledger is how a host follows the claim streams: how many it follows, how many
-// of them it has read to their end, and the idempotency keys that it knows.
+// A Ledger is the state of a host's claim ledger: the number of claim streams that it follows, how
+// many of them it has read to their end, and the number of idempotency keys in memory.
 type Ledger struct {
 	Followed int `json:"followed"`
 	Read     int `json:"read"`
 	Keys     int `json:"keys"`
 }
 
-// A Claim is one attempt to execute a keyed request, as the log tells it.
+// A Claim is one attempt to execute a request with an idempotency key, as recorded in the log; Read
+// is the time since the host read the record.
 type Claim struct {
 	ID     string           `json:"id"`
 	Offset int64            `json:"offset"`
@@ -38,7 +41,8 @@
 	Read   targets.Duration `json:"read-ago"`
 }
 
-// Claims is what the log holds of one key; Whole is false while the host has not read it to its end.
+// Claims holds the claims on one key. Whole is false while the host has not read the key's
+// partition of the log to its end.
 type Claims struct {
 	Partition uint64  `json:"partition"`
 	Whole     bool    `json:"whole"`
--- a/common/report/report.go
+++ b/common/report/report.go
@@ -7,13 +7,15 @@
 	"jackdawhinge/common/targets"
 )
 
-// The paths of a host's operators' interface.
+// The paths of an entry host's admin interface.
 const (
 	StatusPath  = "/status"
 	ExplainPath = "/explain"
 )
 
-// An Upstream is what a host believes of an upstream; loads are in tokens, and Known is false where it knows none.
+// An Upstream is a host's view of an upstream. Loads are in tokens; Known is false if the load is
+// unknown, Mean is the mean load of the model's upstreams, Waiting counts queued requests, and
+// Limit is the concurrency limit in tokens.
 type Upstream struct {
 	Name          string  `json:"name"`
 	Model         string  `json:"model"`
@@ -27,8 +29,9 @@
 	Limit         int64   `json:"limit"`
 }
 
-// A Class is how a host's callers of one class of work fared since its start;
-// FirstToken is the time to the first token that 95 in 100 of the latest answers kept.
+// A Class holds a host's statistics of one request class since its start. Target is the latency
+// target for the first token and FirstToken the 95th percentile of recent responses; Late counts
+// responses that missed the target.
 type Class struct {
 	Name       string           `json:"name"`
 	Target     targets.Duration `json:"first-token-within"`
@@ -38,7 +41,7 @@
 	Refused    int64            `json:"refused"`
 }
 
-// A Status is what a host believes, and how old the host list is that it rests on.
+// A Status is an entry host's view of the fleet, with the age of the host list that it is based on.
 type Status struct {
 	Host       string           `json:"host"`
 	Ready      bool             `json:"ready"`
@@ -49,20 +52,23 @@
 	Ledger     Ledger           `json:"ledger"`
 	Classes    []Class          `json:"classes"`
 	Upstreams  []Upstream       `json:"upstreams"`
-	// StoreEra counts how often the platform's store has come back from an older copy, as this host knows; 0 without one.
+	// StoreEra counts the restores of the platform's store from an older backup that the host knows
+	// of.
 	StoreEra int64 `json:"store-era,omitempty"`
-	// Quarantined are the requests that are refused as upstreams have crashed under them.
+	// Quarantined lists the requests that are rejected because upstreams crashed while executing
+	// them.
 	Quarantined []Quarantined `json:"quarantined,omitempty"`
 }
 
-// A Quarantined is a request that is refused for some time.
+// A Quarantined is a quarantined request, with the time left until it is admitted again.
 type Quarantined struct {
 	Fingerprint string           `json:"fingerprint"`
 	Crashes     int              `json:"crashes"`
 	Left        targets.Duration `json:"left"`
 }
 
-// Sort puts the classes in order of name, the upstreams of model and name, and the requests of fingerprint.
+// Sort sorts the classes by name, the upstreams by model and name, and the quarantined requests by
+// fingerprint.
 func (s *Status) Sort() {
 	slices.SortFunc(s.Classes, func(a, b Class) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(s.Upstreams, func(a, b Upstream) int {
@@ -71,7 +77,8 @@
 	slices.SortFunc(s.Quarantined, func(a, b Quarantined) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 }
 
-// An Explanation is where a chat would go, candidate by candidate, best first.
+// An Explanation lists the candidate upstreams for a chat, best first, and the load multiple that
+// bounds their load.
 type Explanation struct {
 	Host       string     `json:"host"`
 	Model      string     `json:"model"`
