--- a/common/upstream/doc.go
+++ b/common/upstream/doc.go
@@ -1,4 +1,4 @@
-// Package upstream is the protocol spoken to model engines and between entry
-// hosts: a request in JSON, answered by frames in JSON, one a line, each of
-// which names the request and its position in the answer.
+// Package upstream defines the protocol that entry hosts speak to model engines and to each other:
+// a JSON request is answered by JSON frames, one per line, each with the request ID and its
+// position in the response.
 package upstream
--- a/common/upstream/protocol.go
+++ b/common/upstream/protocol.go
@@ -18,18 +18,18 @@
 	Content string `json:"content"`
 }
 
-// A Request is one generation asked of an engine; Priority is lower for more urgent work.
+// A Request is a generation request to an engine. A lower Priority is more urgent.
 type Request struct {
 	ID        string    `json:"request-id"`
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
 	MaxTokens int       `json:"max-tokens"`
 	Priority  int       `json:"priority"`
-	// Options are the caller's fields that only the engine understands.
+	// Options holds fields of the client's request that are passed to the engine unchanged.
 	Options map[string]json.RawMessage `json:"options,omitempty"`
 }
 
-// A FinishReason says why an answer ended.
+// A FinishReason is the reason why a response ended.
 type FinishReason string
 
 // The finish reasons.
@@ -38,7 +38,7 @@
 	FinishLength FinishReason = "length"
 )
 
-// A Frame is one piece of an answer; positions count from 0 and the last frame has a finish reason.
+// A Frame is one part of a response. Positions count from 0; the last frame has a finish reason.
 type Frame struct {
 	RequestID    string       `json:"request-id"`
 	Position     int          `json:"position"`
@@ -49,7 +49,7 @@
 	Answer       *Answer      `json:"answer,omitempty"`
 }
 
-// A Load is what an engine says of itself, with a lag.
+// A Load is the load that an engine reports, with a delay.
 type Load struct {
 	Running        int   `json:"running"`
 	Waiting        int   `json:"waiting"`
@@ -57,7 +57,8 @@
 	CapacityTokens int64 `json:"capacity-tokens"`
 }
 
-// A CacheEvent says that an engine stored or evicted a chat's prefix; a hole in the numbers is a gap.
+// A CacheEvent reports that an engine cached or evicted a chat's prefix. Numbers are consecutive; a
+// missing one means that an event was lost.
 type CacheEvent struct {
 	Number  int64  `json:"number"`
 	Chat    string `json:"chat"`
@@ -65,7 +66,7 @@
 	Evicted bool   `json:"evicted,omitempty"`
 }
 
-// An Answer is the whole answer of a plain service, passed between entry hosts in one frame.
+// An Answer is the complete response of a plain service, sent between entry hosts in one frame.
 type Answer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content-type"`
