--- a/common/pause/doc.go
+++ b/common/pause/doc.go
@@ -1,2 +1,2 @@
-// Package pause waits for a time or for a context's end.
+// Package pause provides a sleep that a context can interrupt, for retry and polling loops.
 package pause
--- a/common/pause/pause.go
+++ b/common/pause/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// For waits for a time, or less if the context ends.
+// For sleeps for d or until ctx is done.
 func For(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
