--- a/jackdaw/internal/cmd/targetsapplycmd.go
+++ b/jackdaw/internal/cmd/targetsapplycmd.go
@@ -95,7 +95,7 @@
 	if f.wait {
 		client := peers.NewClient(s.FleetSecret)
 		defer client.Close()
-		spread, err := publish.AwaitInForce(ctx, roster.NewClient(s.HostList), client, d.Revision)
+		spread, err := publish.WaitInForce(ctx, roster.NewClient(s.HostList), client, d.Revision)
 		if err != nil {
 			return err
 		}
--- a/jackdaw/internal/cmd/targetsspreadcmd.go
+++ b/jackdaw/internal/cmd/targetsspreadcmd.go
@@ -50,6 +50,6 @@
 	}
 	client := peers.NewClient(s.FleetSecret)
 	defer client.Close()
-	found, err := publish.AskOnce(ctx, roster.NewClient(s.HostList), client, state.Revision)
+	found, err := publish.QueryInForce(ctx, roster.NewClient(s.HostList), client, state.Revision)
 	return spread{Revision: state.Revision, Spread: found}, err
 }
--- a/jackdaw/internal/publish/checkpoint.go
+++ b/jackdaw/internal/publish/checkpoint.go
@@ -10,11 +10,12 @@
 	"jackdawhinge/common/roster"
 )
 
-// ErrNoCheckpoint says that no entry host gave its configuration.
-var ErrNoCheckpoint = errors.New("no entry host gave its configuration")
+// ErrNoCheckpoint is returned when no live entry host returned a complete checkpoint.
+var ErrNoCheckpoint = errors.New("no entry host returned its configuration")
 
-// FetchCheckpoint returns the folded configuration of the first entry host that gives one.
-func FetchCheckpoint(ctx context.Context, list HostList, caller Caller) (register.Checkpoint, error) {
+// FetchCheckpoint returns the configuration checkpoint of the first live entry host that returns a
+// complete one.
+func FetchCheckpoint(ctx context.Context, list HostListReader, caller Caller) (register.Checkpoint, error) {
 	hosts, _, _, err := list.Read(ctx, "")
 	if err != nil {
 		return register.Checkpoint{}, err
@@ -27,9 +28,9 @@
 		if err := caller.Call(ctx, h.Control, peers.CheckpointCall, &peers.Nothing{}, &reply); err != nil || !reply.Whole {
 			continue
 		}
-		var cp register.Checkpoint
-		if json.Unmarshal(reply.Checkpoint, &cp) == nil {
-			return cp, nil
+		var checkpoint register.Checkpoint
+		if json.Unmarshal(reply.Checkpoint, &checkpoint) == nil {
+			return checkpoint, nil
 		}
 	}
 	return register.Checkpoint{}, ErrNoCheckpoint
