--- a/jackdaw/internal/cmd/claimscmd.go
+++ b/jackdaw/internal/cmd/claimscmd.go
@@ -13,24 +13,24 @@
 	"jackdawhinge/common/report"
 )
 
-var errNotRead = errors.New("the host has not read the log's records of this key to their end")
+var errLogNotRead = errors.New("query claims: the host has not read the log of this key to its end")
 
-func newClaimsCmd(c *config) *cobra.Command {
+func newClaimsCmd(c *globalFlags) *cobra.Command {
 	var workspace, key string
 	cmd := &cobra.Command{
 		Use:   "claims",
 		Short: "Show what the log holds of an idempotency key: who claimed it and what became of it",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var found report.Claims
-			q := url.Values{"workspace": {workspace}, "key": {key}}
-			if err := c.query(cmd.Context(), report.ClaimsPath, q, &found); err != nil {
+			var claims report.Claims
+			query := url.Values{"workspace": {workspace}, "key": {key}}
+			if err := c.query(cmd.Context(), report.ClaimsPath, query, &claims); err != nil {
 				return err
 			}
-			if !found.Whole {
-				return errNotRead
+			if !claims.Whole {
+				return errLogNotRead
 			}
-			return c.print(cmd.OutOrStdout(), found, func(w io.Writer) error { return printClaims(w, found) })
+			return c.print(cmd.OutOrStdout(), claims, func(w io.Writer) error { return printClaims(w, claims) })
 		},
 	}
 	cmd.Flags().StringVar(&workspace, "workspace", "", "the workspace that sent the key")
@@ -38,8 +38,8 @@
 	return cmd
 }
 
-func printClaims(out io.Writer, found report.Claims) error {
-	if len(found.Claims) == 0 {
+func printClaims(out io.Writer, claims report.Claims) error {
+	if len(claims.Claims) == 0 {
 		_, err := fmt.Fprintln(out, "the key is free: the log holds no claim of it")
 		return err
 	}
@@ -47,7 +47,7 @@
 	if _, err := fmt.Fprintln(w, "OFFSET\tCLAIM\tSTATE\tREAD"); err != nil {
 		return err
 	}
-	for _, c := range found.Claims {
+	for _, c := range claims.Claims {
 		if _, err := fmt.Fprintf(w, "%d\t%s\t%s\t%s ago\n", c.Offset, c.ID, c.State, time.Duration(c.Read)); err != nil {
 			return err
 		}
--- a/jackdaw/internal/cmd/diff.go
+++ b/jackdaw/internal/cmd/diff.go
@@ -10,7 +10,8 @@
 	"jackdawhinge/common/targets"
 )
 
-// diff returns, for each entry of a patch that differs, what is in force and what the patch says.
+// diff returns one text for each entry in which patch differs from doc, with the value in force and
+// that of the patch.
 func diff(doc targets.Document, patch register.Patch) []string {
 	var lines []string
 	lines = append(lines, diffKind("classes", doc.Classes, patch.Classes)...)
@@ -21,15 +22,15 @@
 func diffKind[T any](kind string, current map[string]T, patch map[string]*T) []string {
 	var lines []string
 	for _, name := range slices.Sorted(maps.Keys(patch)) {
-		was, is := "absent", "absent"
+		currentValue, patchValue := "absent", "absent"
 		if v, ok := current[name]; ok {
-			was = encode(v)
+			currentValue = encode(v)
 		}
 		if v := patch[name]; v != nil {
-			is = encode(v)
+			patchValue = encode(v)
 		}
-		if was != is {
-			lines = append(lines, fmt.Sprintf("%s.%s\n  in force: %s\n  yours:    %s", kind, name, was, is))
+		if currentValue != patchValue {
+			lines = append(lines, fmt.Sprintf("%s.%s\n  in force: %s\n  yours:    %s", kind, name, currentValue, patchValue))
 		}
 	}
 	return lines
--- a/jackdaw/internal/cmd/targetsshowcmd.go
+++ b/jackdaw/internal/cmd/targetsshowcmd.go
@@ -12,32 +12,32 @@
 	"jackdawhinge/common/targets"
 )
 
-// shown is what targets show reports.
-type shown struct {
+// showResult is the output of targets show.
+type showResult struct {
 	Revision int64            `json:"revision"`
 	Document targets.Document `json:"document"`
 }
 
-func newTargetsShowCmd(c *config) *cobra.Command {
+func newTargetsShowCmd(c *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show",
 		Short: "Show the configuration that the log holds",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			state, err := c.configuration(cmd.Context())
+			state, err := c.readConfiguration(cmd.Context())
 			if err != nil {
 				return err
 			}
-			enc := json.NewEncoder(cmd.OutOrStdout())
-			enc.SetIndent("", "  ")
-			return enc.Encode(shown{Revision: state.Revision, Document: state.Document})
+			encoder := json.NewEncoder(cmd.OutOrStdout())
+			encoder.SetIndent("", "  ")
+			return encoder.Encode(showResult{Revision: state.Revision, Document: state.Document})
 		},
 	}
 }
 
-// configuration returns the configuration that the log holds.
-func (c *config) configuration(ctx context.Context) (register.State, error) {
-	s, err := c.settings()
+// readConfiguration returns the state of the configuration in the log.
+func (c *globalFlags) readConfiguration(ctx context.Context) (register.State, error) {
+	s, err := c.logServiceSettings()
 	if err != nil {
 		return register.State{}, err
 	}
@@ -45,13 +45,13 @@
 	return state, err
 }
 
-func newTargetsHistoryCmd(c *config) *cobra.Command {
+func newTargetsHistoryCmd(c *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
 		Short: "List the latest changes and what was decided on each",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			state, err := c.configuration(cmd.Context())
+			state, err := c.readConfiguration(cmd.Context())
 			if err != nil {
 				return err
 			}
--- a/jackdaw/internal/cmd/targetsspreadcmd.go
+++ b/jackdaw/internal/cmd/targetsspreadcmd.go
@@ -13,43 +13,43 @@
 	"jackdawhinge/jackdaw/internal/publish"
 )
 
-// spread is what targets spread reports.
+// spread is the output of targets spread.
 type spread struct {
 	Revision int64 `json:"revision"`
 	publish.Spread
 }
 
-func newTargetsSpreadCmd(c *config) *cobra.Command {
+func newTargetsSpreadCmd(c *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "spread",
 		Short: "Show on how many entry hosts the newest revision is in force, and which lag",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			found, err := c.spread(cmd.Context())
+			rollout, err := c.querySpread(cmd.Context())
 			if err != nil {
 				return err
 			}
-			return c.print(cmd.OutOrStdout(), found, func(w io.Writer) error {
+			return c.print(cmd.OutOrStdout(), rollout, func(w io.Writer) error {
 				_, err := fmt.Fprintf(w, "revision %d is in force on %d hosts, %d lag: %s\n",
-					found.Revision, found.InForce, len(found.Lagging), strings.Join(found.Lagging, ", "))
+					rollout.Revision, rollout.InForce, len(rollout.Lagging), strings.Join(rollout.Lagging, ", "))
 				return err
 			})
 		},
 	}
 }
 
-// spread asks every live entry host once.
-func (c *config) spread(ctx context.Context) (spread, error) {
-	s, err := c.settings()
+// querySpread queries every live entry host once for the newest revision in the log.
+func (c *globalFlags) querySpread(ctx context.Context) (spread, error) {
+	s, err := c.logServiceSettings()
 	if err != nil {
 		return spread{}, err
 	}
-	state, err := c.configuration(ctx)
+	state, err := c.readConfiguration(ctx)
 	if err != nil {
 		return spread{}, err
 	}
 	client := peers.NewClient(s.FleetSecret)
 	defer client.Close()
-	found, err := publish.QueryInForce(ctx, roster.NewClient(s.HostList), client, state.Revision)
-	return spread{Revision: state.Revision, Spread: found}, err
+	status, err := publish.QueryInForce(ctx, roster.NewClient(s.HostList), client, state.Revision)
+	return spread{Revision: state.Revision, Spread: status}, err
 }
