--- a/common/peers/client.go
+++ b/common/peers/client.go
@@ -19,22 +19,22 @@
 // address.
 type Client struct {
 	secretHash [sha256.Size]byte
-	dial       Dial
+	dial       DialFunc
 	bytes      wire.Counter
 	mu         sync.Mutex
 	conns      map[string]*rpc.Client
 }
 
-// A Dial opens a connection to an address, as net.Dialer.DialContext does.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// A DialFunc opens a connection to an address, as net.Dialer.DialContext does.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewClient returns a client that authenticates with the fleet's shared secret.
 func NewClient(secret string) *Client {
-	return NewClientOf(secret, (&net.Dialer{Timeout: dialTimeout}).DialContext)
+	return NewClientWithDialer(secret, (&net.Dialer{Timeout: dialTimeout}).DialContext)
 }
 
-// NewClientOf returns a client that opens its connections with the dial function given.
-func NewClientOf(secret string, dial Dial) *Client {
+// NewClientWithDialer returns a client that opens its connections with the dial function given.
+func NewClientWithDialer(secret string, dial DialFunc) *Client {
 	return &Client{secretHash: sha256.Sum256([]byte(secret)), dial: dial, conns: map[string]*rpc.Client{}}
 }
 
--- a/common/peers/messages.go
+++ b/common/peers/messages.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// A Row is the load of one upstream, named by the hash of its name, as counted by its owner host.
-type Row struct {
+// A UpstreamLoad is the load of one upstream, named by the hash of its name, as counted by its owner host.
+type UpstreamLoad struct {
 	Upstream uint64
 	Load     int64 // in tokens
 	Age      time.Duration
@@ -11,16 +11,16 @@
 	Gone bool
 }
 
-// Rows holds rows as columns, which take two thirds of the bytes of a slice of structs on the wire.
-type Rows struct {
+// UpstreamLoads holds rows as columns, which take two thirds of the bytes of a slice of structs on the wire.
+type UpstreamLoads struct {
 	Upstreams []uint64
 	Loads     []int64
 	AgeMillis []uint32
 }
 
-// Pack converts rows to columns.
-func Pack(rows []Row) Rows {
-	var columns Rows
+// PackLoads converts rows to columns.
+func PackLoads(rows []UpstreamLoad) UpstreamLoads {
+	var columns UpstreamLoads
 	for _, row := range rows {
 		columns.Upstreams = append(columns.Upstreams, row.Upstream)
 		columns.Loads = append(columns.Loads, row.Load)
@@ -30,13 +30,13 @@
 }
 
 // Unpack converts columns to rows; it returns none if the columns differ in length.
-func (r Rows) Unpack() []Row {
+func (r UpstreamLoads) Unpack() []UpstreamLoad {
 	if len(r.Loads) != len(r.Upstreams) || len(r.AgeMillis) != len(r.Upstreams) {
 		return nil
 	}
-	rows := make([]Row, len(r.Upstreams))
+	rows := make([]UpstreamLoad, len(r.Upstreams))
 	for i := range rows {
-		rows[i] = Row{Upstream: r.Upstreams[i], Load: r.Loads[i], Age: time.Duration(r.AgeMillis[i]) * time.Millisecond}
+		rows[i] = UpstreamLoad{Upstream: r.Upstreams[i], Load: r.Loads[i], Age: time.Duration(r.AgeMillis[i]) * time.Millisecond}
 	}
 	return rows
 }
@@ -44,12 +44,12 @@
 // ExchangeArgs holds the loads that one owner host of a pool sends to another.
 type ExchangeArgs struct {
 	Pool string
-	Rows Rows
+	Rows UpstreamLoads
 }
 
 // ExchangeReply holds the loads that the receiving owner host returns.
 type ExchangeReply struct {
-	Rows Rows
+	Rows UpstreamLoads
 }
 
 // CheckpointReply holds a host's configuration checkpoint as JSON. Whole is false if the host has
@@ -86,10 +86,10 @@
 	Finished ClaimState = "finished"
 	// Uncertain means that the request of the first claim may have been executed.
 	Uncertain ClaimState = "uncertain"
-	// Unready means that the ledger is not readable at present, so that nothing was claimed.
-	Unready ClaimState = "unready"
-	// Mismatch means that the key was claimed for a different request body.
-	Mismatch ClaimState = "mismatch"
+	// Unavailable means that the ledger is not readable at present, so that nothing was claimed.
+	Unavailable ClaimState = "unready"
+	// BodyMismatch means that the key was claimed for a different request body.
+	BodyMismatch ClaimState = "mismatch"
 )
 
 // ClaimReply holds the state of a key after a claim, and the response to the first claim if it was
@@ -110,8 +110,8 @@
 	Answer []byte
 }
 
-// Nothing is the empty argument or reply of a call.
-type Nothing struct{}
+// Empty is the empty argument or reply of a call.
+type Empty struct{}
 
 // The service and method names of the RPC calls.
 const (
--- a/common/peers/server.go
+++ b/common/peers/server.go
@@ -36,11 +36,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for control connections: %w", err)
 	}
-	return NewServerOn(listener, secrets, services)
+	return NewServerWithListener(listener, secrets, services)
 }
 
-// NewServerOn returns a server on an existing listener, which Stop closes.
-func NewServerOn(listener net.Listener, secrets []string, services map[string]any) (*Server, error) {
+// NewServerWithListener returns a server on an existing listener, which Stop closes.
+func NewServerWithListener(listener net.Listener, secrets []string, services map[string]any) (*Server, error) {
 	s := &Server{rpc: rpc.NewServer(), listener: listener, conns: map[net.Conn]bool{}}
 	for _, secret := range secrets {
 		s.secretHashes = append(s.secretHashes, sha256.Sum256([]byte(secret)))
--- a/common/register/record.go
+++ b/common/register/record.go
@@ -10,8 +10,8 @@
 	"jackdawhinge/common/targets"
 )
 
-// Stream is the name of the configuration stream.
-const Stream = "targets"
+// StreamName is the name of the configuration stream.
+const StreamName = "targets"
 
 // Format is the newest record format that this version reads; adding a field increments it, as
 // unknown fields are refused.
@@ -35,16 +35,16 @@
 
 // A Change is a patch against a base revision, for optimistic concurrency control.
 type Change struct {
-	ID       string `json:"id"`
-	Base     int64  `json:"base"`
-	Operator string `json:"operator,omitempty"`
-	Patch    Patch  `json:"patch"`
+	ID           string `json:"id"`
+	BaseRevision int64  `json:"base"`
+	Operator     string `json:"operator,omitempty"`
+	Patch        Patch  `json:"patch"`
 }
 
 // A Checkpoint is the state after every record with an offset below Through.
 type Checkpoint struct {
-	Through int64 `json:"through"`
-	State   State `json:"state"`
+	NextOffset int64 `json:"through"`
+	State      State `json:"state"`
 }
 
 // A Record is one record of the configuration stream.
--- a/common/register/replica.go
+++ b/common/register/replica.go
@@ -6,9 +6,9 @@
 	"jackdawhinge/common/journal"
 )
 
-// A Fold is one reader's copy of the configuration, up to the last record that it has read. Its
+// A Replica is one reader's copy of the configuration, up to the last record that it has read. Its
 // offset and revision never decrease. It is not safe for concurrent use.
-type Fold struct {
+type Replica struct {
 	state                  State
 	nextOffset             int64
 	complete               bool
@@ -16,33 +16,33 @@
 	changesSinceCheckpoint int
 }
 
-// NewFold returns a copy that has read no record yet.
-func NewFold() *Fold {
-	return &Fold{state: NewState(), complete: true}
+// NewReplica returns a copy that has read no record yet.
+func NewReplica() *Replica {
+	return &Replica{state: NewState(), complete: true}
 }
 
 // State returns the state after the last record applied; callers must not modify it.
-func (f *Fold) State() State {
+func (f *Replica) State() State {
 	return f.state
 }
 
-// Next returns the offset of the next record to read.
-func (f *Fold) Next() int64 {
+// NextOffset returns the offset of the next record to read.
+func (f *Replica) NextOffset() int64 {
 	return f.nextOffset
 }
 
-// Whole reports whether the state includes every record below the next offset to read.
-func (f *Fold) Whole() bool {
+// IsComplete reports whether the state includes every record below the next offset to read.
+func (f *Replica) IsComplete() bool {
 	return f.complete
 }
 
-// SinceCheckpoint returns the number of changes applied since the last checkpoint record.
-func (f *Fold) SinceCheckpoint() int {
+// ChangesSinceCheckpoint returns the number of changes applied since the last checkpoint record.
+func (f *Replica) ChangesSinceCheckpoint() int {
 	return f.changesSinceCheckpoint
 }
 
-// Trimmed advances to the offset earliest after retention has removed the records below it.
-func (f *Fold) Trimmed(earliest int64) {
+// SkipTo advances to the offset earliest after retention has removed the records below it.
+func (f *Replica) SkipTo(earliest int64) {
 	if f.nextOffset >= earliest {
 		return
 	}
@@ -56,12 +56,12 @@
 
 // Install replaces the state by a checkpoint, read from the log or fetched from a host, if that is
 // ahead of this copy, and reports whether it did.
-func (f *Fold) Install(c Checkpoint) bool {
-	if f.complete && c.Through <= f.nextOffset {
+func (f *Replica) Install(c Checkpoint) bool {
+	if f.complete && c.NextOffset <= f.nextOffset {
 		return false
 	}
 	firstBuffered := f.nextOffset - int64(len(f.buffered))
-	if !f.complete && c.Through < firstBuffered {
+	if !f.complete && c.NextOffset < firstBuffered {
 		return false
 	}
 	if c.State.Revision < f.state.Revision {
@@ -71,11 +71,11 @@
 	f.complete = true
 	buffered := f.buffered
 	f.buffered = nil
-	if c.Through > f.nextOffset {
-		f.nextOffset = c.Through
+	if c.NextOffset > f.nextOffset {
+		f.nextOffset = c.NextOffset
 	}
 	for _, r := range buffered {
-		if r.Offset >= c.Through {
+		if r.Offset >= c.NextOffset {
 			// Add already returned the error when the record was read.
 			_ = f.apply(r)
 		}
@@ -83,14 +83,14 @@
 	return true
 }
 
-// Add applies one record, or buffers it while the state is incomplete. It returns an error for a
+// Apply applies one record, or buffers it while the state is incomplete. It returns an error for a
 // record that cannot be decoded, which every reader skips.
-func (f *Fold) Add(r journal.Record) error {
+func (f *Replica) Apply(r journal.Record) error {
 	if r.Offset < f.nextOffset {
 		return nil
 	}
 	if r.Offset > f.nextOffset {
-		f.Trimmed(r.Offset)
+		f.SkipTo(r.Offset)
 	}
 	f.nextOffset = r.Offset + 1
 	if !f.complete {
@@ -101,7 +101,7 @@
 }
 
 // installCheckpointRecord installs the checkpoint in r if r is a checkpoint record.
-func (f *Fold) installCheckpointRecord(r journal.Record) error {
+func (f *Replica) installCheckpointRecord(r journal.Record) error {
 	record, err := DecodeRecord(r.Data)
 	if err != nil {
 		return fmt.Errorf("offset %d: %w", r.Offset, err)
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (f *Fold) apply(r journal.Record) error {
+func (f *Replica) apply(r journal.Record) error {
 	record, err := DecodeRecord(r.Data)
 	if err != nil {
 		return fmt.Errorf("offset %d: %w", r.Offset, err)
@@ -127,6 +127,6 @@
 }
 
 // Checkpoint returns the state as a checkpoint, and false while the state is incomplete.
-func (f *Fold) Checkpoint() (Checkpoint, bool) {
-	return Checkpoint{Through: f.nextOffset, State: f.state}, f.complete
+func (f *Replica) Checkpoint() (Checkpoint, bool) {
+	return Checkpoint{NextOffset: f.nextOffset, State: f.state}, f.complete
 }
--- a/common/register/state.go
+++ b/common/register/state.go
@@ -93,8 +93,8 @@
 // empty.
 func (s State) conflictReason(c Change) string {
 	for _, entry := range c.Patch.Entries() {
-		if changed := s.Entries[entry]; changed > c.Base {
-			return fmt.Sprintf("%s was changed at revision %d, after base %d", entry, changed, c.Base)
+		if changed := s.Entries[entry]; changed > c.BaseRevision {
+			return fmt.Sprintf("%s was changed at revision %d, after base %d", entry, changed, c.BaseRevision)
 		}
 	}
 	return ""
--- a/common/report/claims.go
+++ b/common/report/claims.go
@@ -10,9 +10,9 @@
 
 // The states of a claim.
 const (
-	// ClaimHolds means that the claim holds the key: its request runs, or its host failed while it
+	// ClaimHeld means that the claim holds the key: its request runs, or its host failed while it
 	// ran.
-	ClaimHolds ClaimState = "holds"
+	ClaimHeld ClaimState = "holds"
 	// ClaimVoid means that its host abandoned the claim: the request was not and will not be
 	// executed.
 	ClaimVoid ClaimState = "void"
@@ -27,24 +27,24 @@
 // A Ledger is the state of a host's claim ledger: the number of claim streams that it follows, how
 // many of them it has read to their end, and the number of idempotency keys in memory.
 type Ledger struct {
-	Followed int `json:"followed"`
-	Read     int `json:"read"`
-	Keys     int `json:"keys"`
+	StreamsFollowed int `json:"followed"`
+	StreamsRead     int `json:"read"`
+	Keys            int `json:"keys"`
 }
 
 // A Claim is one attempt to execute a request with an idempotency key, as recorded in the log; Read
 // is the time since the host read the record.
 type Claim struct {
-	ID     string           `json:"id"`
-	Offset int64            `json:"offset"`
-	State  ClaimState       `json:"state"`
-	Read   targets.Duration `json:"read-ago"`
+	ID      string           `json:"id"`
+	Offset  int64            `json:"offset"`
+	State   ClaimState       `json:"state"`
+	ReadAgo targets.Duration `json:"read-ago"`
 }
 
 // Claims holds the claims on one key. Whole is false while the host has not read the key's
 // partition of the log to its end.
 type Claims struct {
 	Partition uint64  `json:"partition"`
-	Whole     bool    `json:"whole"`
+	Complete  bool    `json:"whole"`
 	Claims    []Claim `json:"claims"`
 }
--- a/common/report/report.go
+++ b/common/report/report.go
@@ -22,8 +22,8 @@
 	FailureDomain string  `json:"failure-domain"`
 	Owner         string  `json:"owner"`
 	Load          int64   `json:"load"`
-	Known         bool    `json:"known"`
-	Mean          float64 `json:"mean-load"`
+	LoadKnown     bool    `json:"known"`
+	MeanLoad      float64 `json:"mean-load"`
 	Waiting       int     `json:"waiting"`
 	WaitingTokens int64   `json:"waiting-tokens"`
 	Limit         int64   `json:"limit"`
@@ -33,12 +33,12 @@
 // target for the first token and FirstToken the 95th percentile of recent responses; Late counts
 // responses that missed the target.
 type Class struct {
-	Name       string           `json:"name"`
-	Target     targets.Duration `json:"first-token-within"`
-	FirstToken targets.Duration `json:"first-token-p95"`
-	Answered   int64            `json:"answered"`
-	Late       int64            `json:"late"`
-	Refused    int64            `json:"refused"`
+	Name          string           `json:"name"`
+	Target        targets.Duration `json:"first-token-within"`
+	FirstTokenP95 targets.Duration `json:"first-token-p95"`
+	Answered      int64            `json:"answered"`
+	LateResponses int64            `json:"late"`
+	Refused       int64            `json:"refused"`
 }
 
 // A Status is an entry host's view of the fleet, with the age of the host list that it is based on.
@@ -47,7 +47,7 @@
 	Ready      bool             `json:"ready"`
 	Revision   int64            `json:"revision"`
 	ListAge    targets.Duration `json:"list-age"`
-	Moved      int              `json:"moved-chats"`
+	MovedChats int              `json:"moved-chats"`
 	EntryHosts []string         `json:"entry-hosts"`
 	Ledger     Ledger           `json:"ledger"`
 	Classes    []Class          `json:"classes"`
@@ -57,14 +57,14 @@
 	StoreEra int64 `json:"store-era,omitempty"`
 	// Quarantined lists the requests that are rejected because upstreams crashed while executing
 	// them.
-	Quarantined []Quarantined `json:"quarantined,omitempty"`
+	Quarantined []QuarantinedRequest `json:"quarantined,omitempty"`
 }
 
-// A Quarantined is a quarantined request, with the time left until it is admitted again.
-type Quarantined struct {
+// A QuarantinedRequest is a quarantined request, with the time left until it is admitted again.
+type QuarantinedRequest struct {
 	Fingerprint string           `json:"fingerprint"`
 	Crashes     int              `json:"crashes"`
-	Left        targets.Duration `json:"left"`
+	Remaining   targets.Duration `json:"left"`
 }
 
 // Sort sorts the classes by name, the upstreams by model and name, and the quarantined requests by
@@ -74,14 +74,14 @@
 	slices.SortFunc(s.Upstreams, func(a, b Upstream) int {
 		return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Name, b.Name))
 	})
-	slices.SortFunc(s.Quarantined, func(a, b Quarantined) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	slices.SortFunc(s.Quarantined, func(a, b QuarantinedRequest) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 }
 
 // An Explanation lists the candidate upstreams for a chat, best first, and the load multiple that
 // bounds their load.
 type Explanation struct {
-	Host       string     `json:"host"`
-	Model      string     `json:"model"`
-	Multiple   float64    `json:"load-multiple"`
-	Candidates []Upstream `json:"candidates"`
+	Host         string     `json:"host"`
+	Model        string     `json:"model"`
+	LoadMultiple float64    `json:"load-multiple"`
+	Candidates   []Upstream `json:"candidates"`
 }
--- a/common/roster/host.go
+++ b/common/roster/host.go
@@ -25,14 +25,14 @@
 // A Host is one entry of the platform's host list. Its addresses consist of an IP address and a
 // port; Control is that of the control plane, and Capacity is the memory of an engine in tokens.
 type Host struct {
-	Name          string   `json:"name"`
-	Role          Role     `json:"role"`
-	State         State    `json:"state"`
-	FailureDomain string   `json:"failure-domain"`
-	Address       string   `json:"address"`
-	Control       string   `json:"control,omitempty"`
-	Models        []string `json:"models,omitempty"`
-	Capacity      int64    `json:"capacity-tokens,omitempty"`
+	Name           string   `json:"name"`
+	Role           Role     `json:"role"`
+	State          State    `json:"state"`
+	FailureDomain  string   `json:"failure-domain"`
+	Address        string   `json:"address"`
+	ControlAddress string   `json:"control,omitempty"`
+	Models         []string `json:"models,omitempty"`
+	CapacityTokens int64    `json:"capacity-tokens,omitempty"`
 }
 
 // Region returns the part of the failure domain before the slash, or the whole failure domain
--- a/common/targets/document.go
+++ b/common/targets/document.go
@@ -30,13 +30,13 @@
 	}
 }
 
-// A Kind tells model engines from plain services.
-type Kind string
+// A ModelKind tells model engines from plain services.
+type ModelKind string
 
 // The kinds of upstreams.
 const (
-	Engine  Kind = "engine"
-	Service Kind = "service"
+	Engine  ModelKind = "engine"
+	Service ModelKind = "service"
 )
 
 // A Duration is a time.Duration that is encoded in JSON as text, such as "720ms".
@@ -76,8 +76,8 @@
 	Classes     []string `json:"classes"`
 }
 
-// Allows reports whether the workspace may use a class.
-func (w Workspace) Allows(class string) bool {
+// AllowsClass reports whether the workspace may use a class.
+func (w Workspace) AllowsClass(class string) bool {
 	for _, allowed := range w.Classes {
 		if allowed == class {
 			return true
@@ -100,7 +100,7 @@
 
 // A Model is a model or plain service that clients may request by name.
 type Model struct {
-	Kind Kind `json:"kind"`
+	Kind ModelKind `json:"kind"`
 	// LoadMultiple is the maximum load of an engine as a multiple of the pool's mean load (the
 	// factor of consistent hashing with bounded loads); 0 means DefaultLoadMultiple.
 	LoadMultiple float64 `json:"load-multiple,omitempty"`
@@ -109,8 +109,8 @@
 // DefaultLoadMultiple is the load multiple of models that set none.
 const DefaultLoadMultiple = 1.25
 
-// Multiple returns the model's load multiple, or the default if it sets none.
-func (m Model) Multiple() float64 {
+// EffectiveLoadMultiple returns the model's load multiple, or the default if it sets none.
+func (m Model) EffectiveLoadMultiple() float64 {
 	if m.LoadMultiple == 0 {
 		return DefaultLoadMultiple
 	}
--- a/common/traffic/configuration.go
+++ b/common/traffic/configuration.go
@@ -108,8 +108,8 @@
 	return nil, false
 }
 
-// Keyed reports whether requests need an API key.
-func (c *Configuration) Keyed() bool { return c.keyRequired }
+// RequiresKey reports whether requests need an API key.
+func (c *Configuration) RequiresKey() bool { return c.keyRequired }
 
 // Workspace returns the workspace of an API key, and false if the key is unknown.
 func (c *Configuration) Workspace(key string) (Workspace, bool) {
@@ -117,8 +117,8 @@
 	return w, ok
 }
 
-// Routes returns the number of routes.
-func (c *Configuration) Routes() int {
+// RouteCount returns the number of routes.
+func (c *Configuration) RouteCount() int {
 	count := 0
 	for _, routes := range c.routes {
 		count += len(routes)
--- a/common/traffic/request.go
+++ b/common/traffic/request.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Part is one segment of a prompt, the unit in which engines cache prompts.
-type Part struct {
+// A PromptPart is one segment of a prompt, the unit in which engines cache prompts.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
@@ -27,7 +27,7 @@
 	PromptTokens int
 	OutputTokens int
 	// Prompt lists the prompt's parts in order; only this request or its chat has the last part.
-	Prompt []Part
+	Prompt []PromptPart
 }
 
 // CacheKey returns the hash of the longest prompt prefix that other requests may share, which
@@ -53,8 +53,8 @@
 	return tokens
 }
 
-// A Hop is the metadata that a host adds to a request that it forwards to an upstream.
-type Hop struct {
+// A ForwardMetadata is the metadata that a host adds to a request that it forwards to an upstream.
+type ForwardMetadata struct {
 	// Upstream identifies the only incarnation that may execute the request.
 	Upstream string
 	// Workspace is the name of the workspace of the client's key; empty if there was no key.
@@ -77,28 +77,28 @@
 	Slots   int
 }
 
-// An Answer is what a protocol adapter decodes from the head of an upstream's response.
-type Answer struct {
+// An Response is what a protocol adapter decodes from the head of an upstream's response.
+type Response struct {
 	// ID is the ID of the request that the response is for; empty if the response states none.
 	ID string
-	// NotRun reports that the upstream did not execute the request and never will, so that it may
+	// NotExecuted reports that the upstream did not execute the request and never will, so that it may
 	// be retried.
-	NotRun bool
+	NotExecuted bool
 	// Upstream identifies the responding incarnation; empty if the response states none.
 	Upstream string
-	// Sealed reports that the response has the upstream's signature; a success without one does not
+	// Signed reports that the response has the upstream's signature; a success without one does not
 	// count.
-	Sealed bool
-	// Events reports whether the body is an event stream.
-	Events bool
+	Signed bool
+	// EventStream reports whether the body is an event stream.
+	EventStream bool
 	// Load is nil if the upstream does not report its load.
 	Load *Load
 	// Leaving reports that the upstream drains, which its entry in the platform's list may not say
 	// yet.
 	Leaving bool
-	// WantsNoneFor is how long the upstream, which rejected this request, wants no further ones
+	// Backoff is how long the upstream, which rejected this request, wants no further ones
 	// from this host; 0 if the response states none.
-	WantsNoneFor time.Duration
+	Backoff time.Duration
 	// IdleTimeout is how long the upstream keeps an idle connection open; 0 if the response states
 	// none.
 	IdleTimeout time.Duration
--- a/common/traffic/route.go
+++ b/common/traffic/route.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// A Kind states whether a route's requests may be retried after they were sent.
-type Kind string
+// A RouteKind states whether a route's requests may be retried after they were sent.
+type RouteKind string
 
 // The kinds of routes.
 const (
 	// Idempotent requests may be executed more than once.
-	Idempotent Kind = "idempotent"
+	Idempotent RouteKind = "idempotent"
 	// NonIdempotent requests are executed at most once.
-	NonIdempotent Kind = "non-idempotent"
+	NonIdempotent RouteKind = "non-idempotent"
 	// Streaming requests get an event stream in response; they execute at most once unless the
 	// route is resumable.
-	Streaming Kind = "streaming"
+	Streaming RouteKind = "streaming"
 )
 
 // A Destination is a pool that serves a share of a route's requests.
@@ -33,13 +33,13 @@
 	Host string
 	// Prefix is the path prefix; it begins and ends with a slash.
 	Prefix string
-	Kind   Kind
+	Kind   RouteKind
 	// Timeout limits the total duration of a request; 0 means no limit.
 	Timeout time.Duration
-	// Target is the latency target for the response, or for the first event of a stream.
-	Target time.Duration
-	// PauseTarget is the target for the longest interval between two events of a stream.
-	PauseTarget time.Duration
+	// FirstByteTarget is the latency target for the response, or for the first event of a stream.
+	FirstByteTarget time.Duration
+	// EventIntervalTarget is the target for the longest interval between two events of a stream.
+	EventIntervalTarget time.Duration
 	// Urgency ranks the route's requests, 0 being the most urgent.
 	Urgency      int
 	Destinations []Destination
@@ -49,8 +49,8 @@
 	Public bool
 	// Resumable streams may continue at another upstream after the last event delivered.
 	Resumable bool
-	// Cached routes are served by engines that cache prompts.
-	Cached bool
+	// PromptCaching routes are served by engines that cache prompts.
+	PromptCaching bool
 }
 
 // Repeatable reports whether a request that may have been executed may be sent to another upstream.
@@ -58,10 +58,10 @@
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// Pick returns the name of the pool for a request's key, by weight. The same key gives the
+// PickPool returns the name of the pool for a request's key, by weight. The same key gives the
 // same pool, so that a chat stays in one pool as long as the weights do not change; it is empty if
 // the route has no destination.
-func (r *Route) Pick(key uint64) string {
+func (r *Route) PickPool(key uint64) string {
 	totalWeight := 0
 	for _, d := range r.Destinations {
 		totalWeight += max(d.Weight, 0)
--- a/common/traffic/upstream.go
+++ b/common/traffic/upstream.go
@@ -2,13 +2,13 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// A State is the lifecycle state that an upstream reports.
-type State string
+// A UpstreamState is the lifecycle state that an upstream reports.
+type UpstreamState string
 
 // The states of an upstream.
 const (
-	Ready   State = "ready"
-	Leaving State = "leaving"
+	Ready   UpstreamState = "ready"
+	Leaving UpstreamState = "leaving"
 )
 
 // An Upstream is one incarnation of a model engine or plain service. A restart makes it another
@@ -24,7 +24,7 @@
 	FailureDomain string
 	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	State State
+	State UpstreamState
 	// Sequence orders the reports of one incarnation; a report with a lower number is older.
 	Sequence int64
 	// Models lists the loaded models; empty means that the upstream reports none and may serve any.
@@ -35,19 +35,21 @@
 // tells restarts apart that keep the identifier; a later one is higher.
 type Incarnation int64
 
-// A Start identifies one incarnation of an upstream. State learnt about one incarnation, such as
+// A UpstreamInstance identifies one incarnation of an upstream. State learnt about one incarnation, such as
 // its cache contents or failures, does not apply to another.
-type Start struct {
+type UpstreamInstance struct {
 	ID          string
 	Incarnation Incarnation
 }
 
-// Start returns the identity of this incarnation.
-func (u *Upstream) Start() Start { return Start{ID: u.ID, Incarnation: u.Incarnation} }
+// Instance returns the identity of this incarnation.
+func (u *Upstream) Instance() UpstreamInstance {
+	return UpstreamInstance{ID: u.ID, Incarnation: u.Incarnation}
+}
 
-// HashOf returns the hash of an upstream identifier, by which hosts rank upstreams and name them to
+// HashID returns the hash of an upstream identifier, by which hosts rank upstreams and name them to
 // each other.
-func HashOf(id string) uint64 { return xxhash.Sum64String(id) }
+func HashID(id string) uint64 { return xxhash.Sum64String(id) }
 
 // incarnationFactor spreads incarnations, which differ in few low bits, over 32 bits (Fibonacci
 // hashing: 2^32 divided by the golden ratio, rounded to an odd number).
@@ -85,8 +87,8 @@
 
 // An UpstreamChange is the difference between two reads of the platform's list of upstreams.
 type UpstreamChange struct {
-	// Whole is set if Entries is the complete list, so that upstreams missing from it were removed.
-	Whole bool
+	// Complete is set if Entries is the complete list, so that upstreams missing from it were removed.
+	Complete bool
 	// Restored is set if the list was restored from an older backup; upstreams missing from it may
 	// have been added after that backup.
 	Restored bool
@@ -96,14 +98,14 @@
 	Skipped []error
 }
 
-// Listed returns the entry of a listed upstream, with its Hash set.
-func Listed(u Upstream) UpstreamEntry {
-	u.Hash = HashOf(u.ID)
+// ListedEntry returns the entry of a listed upstream, with its Hash set.
+func ListedEntry(u Upstream) UpstreamEntry {
+	u.Hash = HashID(u.ID)
 	return UpstreamEntry{ID: u.ID, Upstream: &u}
 }
 
-// Unusable returns an entry whose content does not describe an upstream.
-func Unusable(id string) UpstreamEntry { return UpstreamEntry{ID: id, Unusable: true} }
+// UnusableEntry returns an entry whose content does not describe an upstream.
+func UnusableEntry(id string) UpstreamEntry { return UpstreamEntry{ID: id, Unusable: true} }
 
-// Gone returns the entry of an upstream that was removed from the list.
-func Gone(id string) UpstreamEntry { return UpstreamEntry{ID: id} }
+// RemovedEntry returns the entry of an upstream that was removed from the list.
+func RemovedEntry(id string) UpstreamEntry { return UpstreamEntry{ID: id} }
--- a/common/upstream/protocol.go
+++ b/common/upstream/protocol.go
@@ -40,13 +40,13 @@
 
 // A Frame is one part of a response. Positions count from 0; the last frame has a finish reason.
 type Frame struct {
-	RequestID    string       `json:"request-id"`
-	Position     int          `json:"position"`
-	Text         string       `json:"text,omitempty"`
-	Finish       FinishReason `json:"finish,omitempty"`
-	PromptTokens int          `json:"prompt-tokens,omitempty"`
-	CachedTokens int          `json:"cached-tokens,omitempty"`
-	Answer       *Answer      `json:"answer,omitempty"`
+	RequestID    string           `json:"request-id"`
+	Position     int              `json:"position"`
+	Text         string           `json:"text,omitempty"`
+	Finish       FinishReason     `json:"finish,omitempty"`
+	PromptTokens int              `json:"prompt-tokens,omitempty"`
+	CachedTokens int              `json:"cached-tokens,omitempty"`
+	Response     *ServiceResponse `json:"answer,omitempty"`
 }
 
 // A Load is the load that an engine reports, with a delay.
@@ -60,14 +60,14 @@
 // A CacheEvent reports that an engine cached or evicted a chat's prefix. Numbers are consecutive; a
 // missing one means that an event was lost.
 type CacheEvent struct {
-	Number  int64  `json:"number"`
-	Chat    string `json:"chat"`
-	Tokens  int    `json:"tokens"`
-	Evicted bool   `json:"evicted,omitempty"`
+	Sequence int64  `json:"number"`
+	Chat     string `json:"chat"`
+	Tokens   int    `json:"tokens"`
+	Evicted  bool   `json:"evicted,omitempty"`
 }
 
-// An Answer is the complete response of a plain service, sent between entry hosts in one frame.
-type Answer struct {
+// An ServiceResponse is the complete response of a plain service, sent between entry hosts in one frame.
+type ServiceResponse struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content-type"`
 	Body        []byte `json:"body"`
--- a/jackdaw/internal/cmd/claimscmd.go
+++ b/jackdaw/internal/cmd/claimscmd.go
@@ -27,7 +27,7 @@
 			if err := c.query(cmd.Context(), report.ClaimsPath, query, &claims); err != nil {
 				return err
 			}
-			if !claims.Whole {
+			if !claims.Complete {
 				return errLogNotRead
 			}
 			return c.print(cmd.OutOrStdout(), claims, func(w io.Writer) error { return printClaims(w, claims) })
@@ -48,7 +48,7 @@
 		return err
 	}
 	for _, c := range claims.Claims {
-		if _, err := fmt.Fprintf(w, "%d\t%s\t%s\t%s ago\n", c.Offset, c.ID, c.State, time.Duration(c.Read)); err != nil {
+		if _, err := fmt.Fprintf(w, "%d\t%s\t%s\t%s ago\n", c.Offset, c.ID, c.State, time.Duration(c.ReadAgo)); err != nil {
 			return err
 		}
 	}
--- a/jackdaw/internal/cmd/statuscmd.go
+++ b/jackdaw/internal/cmd/statuscmd.go
@@ -30,11 +30,11 @@
 			}
 			return c.print(cmd.OutOrStdout(), status, func(w io.Writer) error {
 				if _, err := fmt.Fprintf(w, "host %s  ready %t  revision %d  host list %s old  %d entry hosts  %d chats moved\n",
-					status.Host, status.Ready, status.Revision, time.Duration(status.ListAge), len(status.EntryHosts), status.Moved); err != nil {
+					status.Host, status.Ready, status.Revision, time.Duration(status.ListAge), len(status.EntryHosts), status.MovedChats); err != nil {
 					return err
 				}
 				if _, err := fmt.Fprintf(w, "ledger: %d claim streams followed, %d read, %d keys known\n",
-					status.Ledger.Followed, status.Ledger.Read, status.Ledger.Keys); err != nil {
+					status.Ledger.StreamsFollowed, status.Ledger.StreamsRead, status.Ledger.Keys); err != nil {
 					return err
 				}
 				if err := printStoreEra(w, status.StoreEra); err != nil {
@@ -65,7 +65,7 @@
 				return err
 			}
 			return c.print(cmd.OutOrStdout(), explanation, func(w io.Writer) error {
-				if _, err := fmt.Fprintf(w, "best first; none may carry more than %.2f times the mean load\n", explanation.Multiple); err != nil {
+				if _, err := fmt.Fprintf(w, "best first; none may carry more than %.2f times the mean load\n", explanation.LoadMultiple); err != nil {
 					return err
 				}
 				return printUpstreams(w, explanation.Candidates)
@@ -84,7 +84,7 @@
 		return err
 	}
 	for _, c := range classes {
-		if _, err := fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\n", c.Name, time.Duration(c.Target), time.Duration(c.FirstToken), c.Answered, c.Late, c.Refused); err != nil {
+		if _, err := fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\n", c.Name, time.Duration(c.Target), time.Duration(c.FirstTokenP95), c.Answered, c.LateResponses, c.Refused); err != nil {
 			return err
 		}
 	}
@@ -98,10 +98,10 @@
 	}
 	for _, u := range upstreams {
 		load := "unknown"
-		if u.Known {
+		if u.LoadKnown {
 			load = fmt.Sprint(u.Load)
 		}
-		if _, err := fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0f\t%d\t%d\n", u.Name, u.Model, u.FailureDomain, u.Owner, load, u.Mean, u.Waiting, u.Limit); err != nil {
+		if _, err := fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0f\t%d\t%d\n", u.Name, u.Model, u.FailureDomain, u.Owner, load, u.MeanLoad, u.Waiting, u.Limit); err != nil {
 			return err
 		}
 	}
@@ -116,9 +116,9 @@
 	return err
 }
 
-func printQuarantined(out io.Writer, requests []report.Quarantined) error {
+func printQuarantined(out io.Writer, requests []report.QuarantinedRequest) error {
 	for _, r := range requests {
-		if _, err := fmt.Fprintf(out, "request %s is refused for %s: %d upstreams crashed under it\n", r.Fingerprint, time.Duration(r.Left), r.Crashes); err != nil {
+		if _, err := fmt.Fprintf(out, "request %s is refused for %s: %d upstreams crashed under it\n", r.Fingerprint, time.Duration(r.Remaining), r.Crashes); err != nil {
 			return err
 		}
 	}
--- a/jackdaw/internal/cmd/targetsapplycmd.go
+++ b/jackdaw/internal/cmd/targetsapplycmd.go
@@ -76,7 +76,7 @@
 	}
 	change := publisher.NewChange(patch, f.operator)
 	if f.base >= 0 {
-		change.Base = f.base
+		change.BaseRevision = f.base
 	}
 	if d := publisher.Check(change); d.Verdict != register.Accepted {
 		return c.reportRejected(out, d, state, patch)
--- a/jackdaw/internal/publish/checkpoint.go
+++ b/jackdaw/internal/publish/checkpoint.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		var reply peers.CheckpointReply
-		if err := caller.Call(ctx, h.Control, peers.CheckpointCall, &peers.Nothing{}, &reply); err != nil || !reply.Whole {
+		if err := caller.Call(ctx, h.ControlAddress, peers.CheckpointCall, &peers.Empty{}, &reply); err != nil || !reply.Whole {
 			continue
 		}
 		var checkpoint register.Checkpoint
--- a/jackdaw/internal/publish/inforce.go
+++ b/jackdaw/internal/publish/inforce.go
@@ -93,6 +93,6 @@
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var reply peers.RevisionReply
-	err := caller.Call(ctx, h.Control, peers.RevisionCall, &peers.Nothing{}, &reply)
+	err := caller.Call(ctx, h.ControlAddress, peers.RevisionCall, &peers.Empty{}, &reply)
 	return err == nil && reply.Revision >= revision
 }
--- a/jackdaw/internal/publish/publisher.go
+++ b/jackdaw/internal/publish/publisher.go
@@ -32,12 +32,12 @@
 // A Publisher publishes changes to the configuration. It is not safe for concurrent use.
 type Publisher struct {
 	journal Journal
-	replica *register.Fold
+	replica *register.Replica
 }
 
 // NewPublisher returns a publisher that has not read the stream yet.
 func NewPublisher(j Journal) *Publisher {
-	return &Publisher{journal: j, replica: register.NewFold()}
+	return &Publisher{journal: j, replica: register.NewReplica()}
 }
 
 // Install installs a host's checkpoint, for a stream whose beginning retention has removed.
@@ -53,7 +53,7 @@
 			return register.State{}, false, err
 		}
 		if count == 0 {
-			return p.replica.State(), p.replica.Whole(), nil
+			return p.replica.State(), p.replica.IsComplete(), nil
 		}
 	}
 }
@@ -61,10 +61,10 @@
 // readOnce applies one batch of records and returns its size, or 1 after skipping records that
 // retention has removed.
 func (p *Publisher) readOnce(ctx context.Context, wait time.Duration) (int, error) {
-	batch, err := p.journal.Read(ctx, register.Stream, p.replica.Next(), wait)
+	batch, err := p.journal.Read(ctx, register.StreamName, p.replica.NextOffset(), wait)
 	var trimmed *journal.TrimmedError
 	if errors.As(err, &trimmed) {
-		p.replica.Trimmed(trimmed.Earliest)
+		p.replica.SkipTo(trimmed.Earliest)
 		return 1, nil
 	}
 	if err != nil {
@@ -72,19 +72,19 @@
 	}
 	for _, r := range batch.Records {
 		// Malformed records do not change the state; hosts report them.
-		_ = p.replica.Add(r)
+		_ = p.replica.Apply(r)
 	}
 	return len(batch.Records), nil
 }
 
 // NewChange returns a change based on the revision last read, with a new ID.
 func (p *Publisher) NewChange(patch register.Patch, operator string) register.Change {
-	return register.Change{ID: uuid.NewString(), Base: p.replica.State().Revision, Operator: operator, Patch: patch}
+	return register.Change{ID: uuid.NewString(), BaseRevision: p.replica.State().Revision, Operator: operator, Patch: patch}
 }
 
 // Check returns the decision on a change if no other change preceded it.
 func (p *Publisher) Check(c register.Change) register.Decision {
-	d, _ := p.replica.State().Apply(p.replica.Next(), c).Decision(c.ID)
+	d, _ := p.replica.State().Apply(p.replica.NextOffset(), c).Decision(c.ID)
 	return d
 }
 
@@ -99,7 +99,7 @@
 	appended := false
 	for ctx.Err() == nil {
 		if !appended {
-			_, err = p.journal.Append(ctx, register.Stream, data)
+			_, err = p.journal.Append(ctx, register.StreamName, data)
 			appended = err == nil
 		}
 		if _, readErr := p.readOnce(ctx, longPollWait); readErr != nil {
--- a/jackdawd/internal/admin/handler.go
+++ b/jackdawd/internal/admin/handler.go
@@ -15,7 +15,7 @@
 // A Host provides the state that the handler reports.
 type Host interface {
 	View() *routing.View
-	Balancer() *routing.Board
+	Balancer() *routing.Balancer
 	QueueDepth(u *routing.Upstream) (requests int, tokens, limit int64)
 	Ready() bool
 	ListAge() time.Duration
@@ -53,12 +53,12 @@
 func newStatus(host Host) report.Status {
 	view := host.View()
 	status := report.Status{
-		Host:     view.Self(),
-		Ready:    host.Ready(),
-		Revision: view.Revision(),
-		ListAge:  targets.Duration(host.ListAge().Round(time.Millisecond)),
-		Moved:    host.Balancer().Moves(),
-		Ledger:   host.Ledger(),
+		Host:       view.Self(),
+		Ready:      host.Ready(),
+		Revision:   view.Revision(),
+		ListAge:    targets.Duration(host.ListAge().Round(time.Millisecond)),
+		MovedChats: host.Balancer().MovedChats(),
+		Ledger:     host.Ledger(),
 	}
 	for _, h := range view.Hosts() {
 		status.EntryHosts = append(status.EntryHosts, h.Name())
@@ -66,8 +66,8 @@
 	for name, class := range view.Document().Classes {
 		stats := host.ClassStats(name)
 		status.Classes = append(status.Classes, report.Class{
-			Name: name, Target: class.FirstTokenWithin, FirstToken: targets.Duration(stats.FirstTokenP95.Round(time.Millisecond)),
-			Answered: stats.Answered, Late: stats.Late, Refused: stats.Refused,
+			Name: name, Target: class.FirstTokenWithin, FirstTokenP95: targets.Duration(stats.FirstTokenP95.Round(time.Millisecond)),
+			Answered: stats.Answered, LateResponses: stats.Late, Refused: stats.Refused,
 		})
 	}
 	for _, pool := range view.Pools() {
@@ -85,7 +85,7 @@
 	requests, tokens, limit := host.QueueDepth(u)
 	return report.Upstream{
 		Name: u.Name(), Model: pool.Model(), FailureDomain: u.FailureDomain(), Owner: owner.Name(),
-		Load: load, Known: known, Mean: host.Balancer().Mean(time.Now(), pool),
+		Load: load, LoadKnown: known, MeanLoad: host.Balancer().Mean(time.Now(), pool),
 		Waiting: requests, WaitingTokens: tokens, Limit: limit,
 	}
 }
@@ -98,7 +98,7 @@
 		http.Error(w, "model: there is no such model", http.StatusNotFound)
 		return
 	}
-	explanation := report.Explanation{Host: view.Self(), Model: pool.Model(), Multiple: pool.Multiple()}
+	explanation := report.Explanation{Host: view.Self(), Model: pool.Model(), LoadMultiple: pool.LoadMultiple()}
 	for _, u := range pool.Rank(routing.ChatHash(q.Get("workspace"), q.Get("chat"))) {
 		explanation.Candidates = append(explanation.Candidates, newUpstreamStatus(host, view, pool, u))
 	}
--- a/jackdawd/internal/admission/controller.go
+++ b/jackdawd/internal/admission/controller.go
@@ -29,9 +29,9 @@
 	pools   map[string]*pool
 	classes map[string]*class
 	// waiting holds this host's requests at each upstream whose response has not begun.
-	waiting map[traffic.Start]map[*Attempt]struct{}
+	waiting map[traffic.UpstreamInstance]map[*Attempt]struct{}
 	// refusals holds the recent refusals for each upstream.
-	refusals map[traffic.Start]*refusalTimes
+	refusals map[traffic.UpstreamInstance]*refusalTimes
 }
 
 // pool is the state of one pool of upstreams.
@@ -77,7 +77,7 @@
 type Attempt struct {
 	controller    *Controller
 	request       Request
-	upstream      traffic.Start
+	upstream      traffic.UpstreamInstance
 	sentAt        time.Time
 	expectedDelay time.Duration
 	// leftQueue is set once the response has begun or the request has ended.
@@ -86,12 +86,12 @@
 
 // NewController returns a controller without any measurements.
 func NewController() *Controller {
-	return &Controller{pools: map[string]*pool{}, classes: map[string]*class{}, waiting: map[traffic.Start]map[*Attempt]struct{}{}, refusals: map[traffic.Start]*refusalTimes{}}
+	return &Controller{pools: map[string]*pool{}, classes: map[string]*class{}, waiting: map[traffic.UpstreamInstance]map[*Attempt]struct{}{}, refusals: map[traffic.UpstreamInstance]*refusalTimes{}}
 }
 
-// Send records that a request is sent to an upstream, where it is expected to wait for
+// RecordSent records that a request is sent to an upstream, where it is expected to wait for
 // expectedDelay.
-func (c *Controller) Send(now time.Time, r Request, upstream traffic.Start, expectedDelay time.Duration) *Attempt {
+func (c *Controller) RecordSent(now time.Time, r Request, upstream traffic.UpstreamInstance, expectedDelay time.Duration) *Attempt {
 	r.Rank = clampRank(r.Rank)
 	a := &Attempt{controller: c, request: r, upstream: upstream, sentAt: now, expectedDelay: expectedDelay}
 	c.mu.Lock()
@@ -106,8 +106,8 @@
 	return a
 }
 
-// Began records that the response has begun.
-func (a *Attempt) Began(now time.Time) {
+// RecordFirstByte records that the response has begun.
+func (a *Attempt) RecordFirstByte(now time.Time) {
 	c := a.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,8 +117,8 @@
 	}
 }
 
-// Ended records that the request has ended; complete is set if the whole response was received.
-func (a *Attempt) Ended(now time.Time, complete bool) {
+// RecordEnd records that the request has ended; complete is set if the whole response was received.
+func (a *Attempt) RecordEnd(now time.Time, complete bool) {
 	c := a.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,18 +146,18 @@
 	}
 }
 
-// Begins returns the mean time until a response of a class begins if the request doesn't wait.
-func (c *Controller) Begins(class string) time.Duration {
+// TimeToFirstByte returns the mean time until a response of a class begins if the request doesn't wait.
+func (c *Controller) TimeToFirstByte(class string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.class(class).timeToFirstByte
 }
 
-// Waited returns how long ago a caller that will still wait for timeLeft sent its first
+// WaitedBeforeRetry returns how long ago a caller that will still wait for timeLeft sent its first
 // attempt. Callers of a class wait equally long in total, so one that was refused has less time left
 // when it retries. The reference is the time that most callers have left rather than the longest
 // time, as a single caller with more patience would make all others look like retries.
-func (c *Controller) Waited(class string, timeLeft time.Duration) time.Duration {
+func (c *Controller) WaitedBeforeRetry(class string, timeLeft time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cl := c.class(class)
@@ -187,8 +187,8 @@
 	maxVotes = 50
 )
 
-// Arrived records that a request has arrived at this host.
-func (c *Controller) Arrived(now time.Time, r Request) {
+// RecordArrival records that a request has arrived at this host.
+func (c *Controller) RecordArrival(now time.Time, r Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pool(r.Pool).demand.add(now, r.Workspace)
--- a/jackdawd/internal/admission/delay.go
+++ b/jackdawd/internal/admission/delay.go
@@ -22,7 +22,7 @@
 )
 
 // Delay returns how long a request would wait at an upstream with the given backlog.
-func (c *Controller) Delay(now time.Time, r Request, upstream traffic.Start, backlog placement.Backlog) time.Duration {
+func (c *Controller) Delay(now time.Time, r Request, upstream traffic.UpstreamInstance, backlog placement.Backlog) time.Duration {
 	rank := clampRank(r.Rank)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,7 +33,7 @@
 
 // Stuck reports whether the responses to several of this host's requests at an upstream are
 // overdue.
-func (c *Controller) Stuck(now time.Time, upstream traffic.Start) bool {
+func (c *Controller) Stuck(now time.Time, upstream traffic.UpstreamInstance) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -52,7 +52,7 @@
 // If nothing waited at the last report, a wait counts only once it exceeds the target, as computing
 // a prompt may take that long. This also detects an upstream that no longer responds and therefore
 // reports nothing.
-func (c *Controller) longestWait(now time.Time, rank int, upstream traffic.Start, hadQueue bool) time.Duration {
+func (c *Controller) longestWait(now time.Time, rank int, upstream traffic.UpstreamInstance, hadQueue bool) time.Duration {
 	longest := time.Duration(0)
 	for a := range c.waiting[upstream] {
 		if a.request.Rank > rank {
--- a/jackdawd/internal/admission/refusal.go
+++ b/jackdawd/internal/admission/refusal.go
@@ -22,8 +22,8 @@
 // refusalTimes holds, by rank, when a request was last refused for an upstream.
 type refusalTimes [numRanks]time.Time
 
-// Refused records that a request was refused for lack of capacity at an upstream.
-func (c *Controller) Refused(now time.Time, r Request, upstream traffic.Start) {
+// RecordRefusal records that a request was refused for lack of capacity at an upstream.
+func (c *Controller) RecordRefusal(now time.Time, r Request, upstream traffic.UpstreamInstance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pool(r.Pool).recordOverload(now)
@@ -34,9 +34,9 @@
 	c.refusals[upstream][clampRank(r.Rank)] = now
 }
 
-// RefusedSurge records that a request of a surging workspace was refused. It doesn't block
+// RecordSurgeRefusal records that a request of a surging workspace was refused. It doesn't block
 // less urgent requests, as those of other workspaces may still be admitted.
-func (c *Controller) RefusedSurge(now time.Time, pool string) {
+func (c *Controller) RecordSurgeRefusal(now time.Time, pool string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pool(pool).recordOverload(now)
@@ -59,8 +59,8 @@
 	Usual Precedence = "usual"
 	// Surging requests are of a workspace that sends many times its usual requests.
 	Surging Precedence = "surging"
-	// Owed requests are of a class below its minimum share of the running requests, and go first.
-	Owed Precedence = "owed"
+	// BelowMinShare requests are of a class below its minimum share of the running requests, and go first.
+	BelowMinShare Precedence = "owed"
 )
 
 // Precedence returns how a request ranks against the others of its pool.
@@ -75,14 +75,14 @@
 	case p.demand.isSurging(now, r.Workspace):
 		return Surging
 	case float64(p.runningByClass[r.Class]) < minClassRatio*float64(p.running):
-		return Owed
+		return BelowMinShare
 	}
 	return Usual
 }
 
-// Behind reports whether a more urgent request was refused for an upstream within
+// MoreUrgentRefused reports whether a more urgent request was refused for an upstream within
 // refusalWindow.
-func (c *Controller) Behind(now time.Time, r Request, upstream traffic.Start) bool {
+func (c *Controller) MoreUrgentRefused(now time.Time, r Request, upstream traffic.UpstreamInstance) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	refusedAt, ok := c.refusals[upstream]
@@ -99,14 +99,14 @@
 
 // pruneRefusals drops upstreams without a recent refusal. The caller must hold c.mu.
 func (c *Controller) pruneRefusals(now time.Time) {
-	maps.DeleteFunc(c.refusals, func(_ traffic.Start, r *refusalTimes) bool {
+	maps.DeleteFunc(c.refusals, func(_ traffic.UpstreamInstance, r *refusalTimes) bool {
 		return !slices.ContainsFunc(r[:], func(at time.Time) bool { return now.Sub(at) < refusalWindow })
 	})
 }
 
-// Overloaded returns for how long requests to a pool have been refused. As the end of an
+// OverloadDuration returns for how long requests to a pool have been refused. As the end of an
 // overload is unknown, the best estimate is that it continues for as long again.
-func (c *Controller) Overloaded(now time.Time, poolName string) time.Duration {
+func (c *Controller) OverloadDuration(now time.Time, poolName string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pool(poolName)
--- a/jackdawd/internal/control/controller.go
+++ b/jackdawd/internal/control/controller.go
@@ -37,14 +37,14 @@
 	Read(ctx context.Context, stream string, from int64, wait time.Duration) (journal.Batch, error)
 }
 
-// A HostList reads the platform's host list, if it has changed since the tag.
-type HostList interface {
+// A HostListReader reads the platform's host list, if it has changed since the tag.
+type HostListReader interface {
 	Read(ctx context.Context, tag string) (list roster.List, newTag string, changed bool, err error)
 }
 
-// A Peers fetches other entry hosts' configuration; the result is false if a host has no
+// A CheckpointFetcher fetches other entry hosts' configuration; the result is false if a host has no
 // complete one.
-type Peers interface {
+type CheckpointFetcher interface {
 	Checkpoint(ctx context.Context, from routing.EntryHost) (register.Checkpoint, bool, error)
 }
 
@@ -53,8 +53,8 @@
 	self             string
 	region           string
 	journal          Journal
-	list             HostList
-	peers            Peers
+	list             HostListReader
+	peers            CheckpointFetcher
 	listConfirmedAt  atomic.Int64
 	view             atomic.Pointer[routing.View]
 	latestCheckpoint atomic.Pointer[register.Checkpoint]
@@ -68,9 +68,9 @@
 
 // state is owned by the control goroutine.
 type state struct {
-	fold         *register.Fold
+	fold         *register.Replica
 	hosts        []roster.Host
-	outliers     *Evidence
+	outliers     *OutlierDetector
 	avoided      map[string]bool
 	caughtUp     bool
 	checkpointAt time.Time
@@ -81,8 +81,8 @@
 	Self    string
 	Region  string
 	Journal Journal
-	List    HostList
-	Peers   Peers
+	List    HostListReader
+	Peers   CheckpointFetcher
 	// OnView is called by the control goroutine with each new view.
 	OnView func(*routing.View)
 }
@@ -94,7 +94,7 @@
 		self: o.Self, region: o.Region, journal: o.Journal, list: o.List, peers: o.Peers, onView: o.OnView,
 		updates: make(chan func(*state), updateBufferSize), cancel: cancel, done: make(chan struct{}),
 	}
-	s := &state{fold: register.NewFold(), outliers: NewEvidence(), checkpointAt: time.Now()}
+	s := &state{fold: register.NewReplica(), outliers: NewOutlierDetector(), checkpointAt: time.Now()}
 	c.publish(s)
 	go func() {
 		defer close(c.done)
@@ -116,8 +116,8 @@
 	return c.view.Load()
 }
 
-// Folded returns the latest complete configuration as a checkpoint, or false if there is none yet.
-func (c *Controller) Folded() (register.Checkpoint, bool) {
+// LatestCheckpoint returns the latest complete configuration as a checkpoint, or false if there is none yet.
+func (c *Controller) LatestCheckpoint() (register.Checkpoint, bool) {
 	p := c.latestCheckpoint.Load()
 	if p == nil {
 		return register.Checkpoint{}, false
@@ -139,9 +139,9 @@
 // Observe records whether a call to a host succeeded. It never blocks; results are dropped
 // while the update queue is full.
 func (c *Controller) Observe(name string, ok bool) {
-	result := Good
+	result := Succeeded
 	if !ok {
-		result = Broken
+		result = ConnectionFailed
 	}
 	select {
 	case c.updates <- func(s *state) {
@@ -206,7 +206,7 @@
 	}
 	avoided := map[string]bool{}
 	for _, group := range groups {
-		for name := range s.outliers.Avoid(time.Now(), group) {
+		for name := range s.outliers.Avoided(time.Now(), group) {
 			avoided[name] = true
 		}
 	}
@@ -226,7 +226,7 @@
 	if cp, ok := s.fold.Checkpoint(); ok {
 		c.latestCheckpoint.Store(&cp)
 	}
-	c.complete.Store(s.fold.Whole())
+	c.complete.Store(s.fold.IsComplete())
 	// A host that was ready stays ready with the configuration it has.
 	c.ready.Store(c.ready.Load() || (s.caughtUp && s.hosts != nil))
 	if c.onView != nil {
@@ -263,20 +263,20 @@
 	for _, h := range list.Hosts {
 		listed[h.Name] = true
 	}
-	s.outliers.Forget(listed)
+	s.outliers.RetainListed(listed)
 	c.publish(s)
 }
 
 func (c *Controller) readConfiguration(ctx context.Context) {
 	from := int64(0)
 	for ctx.Err() == nil {
-		batch, err := c.journal.Read(ctx, register.Stream, from, c.readTimeout())
+		batch, err := c.journal.Read(ctx, register.StreamName, from, c.readTimeout())
 		var trimmed *journal.TrimmedError
 		switch {
 		case errors.As(err, &trimmed):
 			from = trimmed.Earliest
 			c.enqueue(ctx, func(s *state) {
-				s.fold.Trimmed(trimmed.Earliest)
+				s.fold.SkipTo(trimmed.Earliest)
 				c.publish(s)
 			})
 			if c.ready.Load() {
@@ -314,14 +314,14 @@
 
 func (c *Controller) applyRecords(s *state, batch journal.Batch) {
 	for _, r := range batch.Records {
-		if err := s.fold.Add(r); err != nil {
+		if err := s.fold.Apply(r); err != nil {
 			logrus.WithError(err).Error("control: Skipped an invalid configuration record.")
 		}
 		if rec, err := register.DecodeRecord(r.Data); err == nil && rec.Kind == register.CheckpointRecord {
 			s.checkpointAt = time.Now()
 		}
 	}
-	if len(batch.Records) == 0 && s.fold.Whole() {
+	if len(batch.Records) == 0 && s.fold.IsComplete() {
 		s.caughtUp = true
 	}
 	if len(batch.Records) > 0 || !c.ready.Load() {
@@ -352,7 +352,7 @@
 			if s.fold.Install(cp) {
 				logrus.WithField("revision", cp.State.Revision).Infof("control: Fetched the configuration from host %s.", host.Name())
 			}
-			s.caughtUp = s.caughtUp || s.fold.Whole()
+			s.caughtUp = s.caughtUp || s.fold.IsComplete()
 			c.publish(s)
 		})
 		return
@@ -384,7 +384,7 @@
 		return
 	}
 	go func() {
-		if _, err := c.journal.Append(ctx, register.Stream, data); err != nil {
+		if _, err := c.journal.Append(ctx, register.StreamName, data); err != nil {
 			logrus.WithError(err).Warn("control: Appending the checkpoint failed.")
 		}
 	}()
--- a/jackdawd/internal/control/outlier.go
+++ b/jackdawd/internal/control/outlier.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Experience is the result of one request to another host or upstream.
-type Experience string
+// Result is the result of one request to another host or upstream.
+type Result string
 
 // The results.
 const (
-	// Good means that the request succeeded.
-	Good Experience = "good"
+	// Succeeded means that the request succeeded.
+	Succeeded Result = "good"
 	// Failed means an error response, whose cause may be the request itself.
-	Failed Experience = "failed"
-	// Silent means that the response did not begin, or paused, for longer than the timeout.
-	Silent Experience = "silent"
-	// Broken means that the connection failed or was lost.
-	Broken Experience = "broken"
+	Failed Result = "failed"
+	// TimedOut means that the response did not begin, or paused, for longer than the timeout.
+	TimedOut Result = "silent"
+	// ConnectionFailed means that the connection failed or was lost.
+	ConnectionFailed Result = "broken"
 )
 
 const (
@@ -58,11 +58,11 @@
 
 // scoreWeights is what each result adds to the score. Up to a tenth of some callers'
 // requests fail wherever they run; those alone never reach avoidThreshold.
-var scoreWeights = map[Experience]float64{Failed: 0.8, Silent: 1, Broken: 1}
+var scoreWeights = map[Result]float64{Failed: 0.8, TimedOut: 1, ConnectionFailed: 1}
 
-// An Evidence detects failing hosts from the results of this host's own calls and from
+// An OutlierDetector detects failing hosts from the results of this host's own calls and from
 // the scores that peers report. It is not safe for concurrent use.
-type Evidence struct {
+type OutlierDetector struct {
 	hosts map[string]*hostRecord
 	// peerScores are the sums of the scores that peers reported.
 	peerScores map[string]float64
@@ -81,25 +81,25 @@
 	avoidedUntil          time.Time
 }
 
-// NewEvidence returns a detector without any results.
-func NewEvidence() *Evidence {
-	return &Evidence{hosts: map[string]*hostRecord{}, lastSuccess: map[string]time.Time{}}
+// NewOutlierDetector returns a detector without any results.
+func NewOutlierDetector() *OutlierDetector {
+	return &OutlierDetector{hosts: map[string]*hostRecord{}, lastSuccess: map[string]time.Time{}}
 }
 
 // Observe records the result of a request to a host, and reports whether the host is newly avoided.
-func (d *Evidence) Observe(now time.Time, name string, result Experience) bool {
-	if result == Good {
+func (d *OutlierDetector) Observe(now time.Time, name string, result Result) bool {
+	if result == Succeeded {
 		d.lastSuccess[name] = now
 	}
 	r, known := d.hosts[name]
 	if !known {
-		if result == Good {
+		if result == Succeeded {
 			return false
 		}
 		r = &hostRecord{}
 		d.hosts[name] = r
 	}
-	if result == Good {
+	if result == Succeeded {
 		r.score = max(r.score-successCredit, -maxCredit)
 		r.consecutiveSuccesses++
 		r.consecutiveUnanswered = 0
@@ -130,7 +130,7 @@
 }
 
 // Scores returns the scores of recently failing hosts, to be reported to peers.
-func (d *Evidence) Scores(now time.Time) map[string]float64 {
+func (d *OutlierDetector) Scores(now time.Time) map[string]float64 {
 	scores := map[string]float64{}
 	for name, r := range d.hosts {
 		if r.score >= minReportedScore && now.Sub(r.lastFailure) < reportWindow {
@@ -140,12 +140,12 @@
 	return scores
 }
 
-// Told replaces the peers' scores; each is the sum over all other hosts.
-func (d *Evidence) Told(scores map[string]float64) { d.peerScores = scores }
+// SetPeerScores replaces the peers' scores; each is the sum over all other hosts.
+func (d *OutlierDetector) SetPeerScores(scores map[string]float64) { d.peerScores = scores }
 
-// Avoid returns the names of the group's hosts to avoid: those that do not answer at
+// Avoided returns the names of the group's hosts to avoid: those that do not answer at
 // all, and those that fail, unless these are more than a third of the rest.
-func (d *Evidence) Avoid(now time.Time, group []string) map[string]bool {
+func (d *OutlierDetector) Avoided(now time.Time, group []string) map[string]bool {
 	avoided, failing := map[string]bool{}, map[string]bool{}
 	networkUp := false
 	for _, name := range group {
@@ -172,15 +172,15 @@
 	return avoided
 }
 
-// Drop removes the data on a host that has restarted.
-func (d *Evidence) Drop(name string) {
+// Remove removes the data on a host that has restarted.
+func (d *OutlierDetector) Remove(name string) {
 	delete(d.hosts, name)
 	delete(d.peerScores, name)
 	delete(d.lastSuccess, name)
 }
 
-// Forget removes the data on hosts that are not in listed.
-func (d *Evidence) Forget(listed map[string]bool) {
+// RetainListed removes the data on hosts that are not in listed.
+func (d *OutlierDetector) RetainListed(listed map[string]bool) {
 	for name := range d.hosts {
 		if !listed[name] {
 			delete(d.hosts, name)
--- a/jackdawd/internal/delivery/client.go
+++ b/jackdawd/internal/delivery/client.go
@@ -69,8 +69,8 @@
 	return c.noKeepAlive.Do(req)
 }
 
-// DoFor sends an idempotent request on a pooled connection and any other on a new one.
-func (c *Client) DoFor(req *http.Request, idempotent bool) (*http.Response, error) {
+// DoByIdempotency sends an idempotent request on a pooled connection and any other on a new one.
+func (c *Client) DoByIdempotency(req *http.Request, idempotent bool) (*http.Response, error) {
 	if idempotent {
 		return c.Do(req)
 	}
--- a/jackdawd/internal/dispatch/budget.go
+++ b/jackdawd/internal/dispatch/budget.go
@@ -20,23 +20,23 @@
 
 // NewBudget returns a full budget with the default ratio and maximum.
 func NewBudget() *Budget {
-	return NewBudgetOf(retryRatio, maxRetryBalance)
+	return NewBudgetWithRatio(retryRatio, maxRetryBalance)
 }
 
-// NewBudgetOf returns a full budget: each first attempt adds ratio retries, up to maxBalance.
-func NewBudgetOf(ratio, maxBalance float64) *Budget {
+// NewBudgetWithRatio returns a full budget: each first attempt adds ratio retries, up to maxBalance.
+func NewBudgetWithRatio(ratio, maxBalance float64) *Budget {
 	return &Budget{balance: maxBalance, ratio: ratio, maxBalance: maxBalance}
 }
 
-// Earn credits the budget for a first attempt.
-func (b *Budget) Earn() {
+// Deposit credits the budget for a first attempt.
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.balance = min(b.maxBalance, b.balance+b.ratio)
 }
 
-// Spend withdraws one retry, and reports whether the budget allowed it.
-func (b *Budget) Spend() bool {
+// TryWithdraw withdraws one retry, and reports whether the budget allowed it.
+func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balance < 1 {
@@ -46,8 +46,8 @@
 	return true
 }
 
-// Left returns the retries available, fractions included.
-func (b *Budget) Left() float64 {
+// Balance returns the retries available, fractions included.
+func (b *Budget) Balance() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.balance
--- a/jackdawd/internal/dispatch/deliver.go
+++ b/jackdawd/internal/dispatch/deliver.go
@@ -46,7 +46,7 @@
 	if item.Service != nil {
 		return o.callService(ctx, item, u, sink)
 	}
-	progress := &delivery.Progress{ID: item.ID}
+	progress := &delivery.Progress{RequestID: item.ID}
 	lastFrameAt := time.Now()
 	observingSink := func(f upstream.Frame) error {
 		now := time.Now()
@@ -59,7 +59,7 @@
 	if err := o.generate(ctx, item, u, progress, observingSink); err != nil {
 		return err
 	}
-	o.outputLengths.Observe(item.Class, progress.Next)
+	o.outputLengths.Observe(item.Class, progress.NextPosition)
 	return nil
 }
 
@@ -69,15 +69,15 @@
 		ID: item.ID, Model: item.Model, Messages: item.Messages, MaxTokens: item.MaxTokens, Priority: item.Urgency.Rank(), Options: item.Options,
 	})
 	if err != nil {
-		return work.Refuse(http.StatusBadRequest, work.BadRequest, "the request cannot be encoded")
+		return work.NewRefusal(http.StatusBadRequest, work.BadRequest, "the request cannot be encoded")
 	}
 	err = o.doCall(ctx, u, call{
 		method: http.MethodPost, path: upstream.GeneratePath, body: body, idempotent: item.Idempotent,
-		firstFrameTimeout: min(max(firstFrameFactor*item.Target, minFirstFrameTimeout), maxFirstFrameTimeout),
+		firstFrameTimeout: min(max(firstFrameFactor*item.FirstTokenTarget, minFirstFrameTimeout), maxFirstFrameTimeout),
 	}, progress, sink)
-	if delivery.NeverSent(err) {
+	if delivery.IsDialError(err) {
 		o.recordFailure(ctx, u)
-		return work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s cannot be reached", u.Name()).Retry(overloadRetryAfter)
+		return work.NewRefusal(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s cannot be reached", u.Name()).WithRetryAfter(overloadRetryAfter)
 	}
 	return o.resume(ctx, u, progress, sink, err)
 }
@@ -91,15 +91,15 @@
 
 // Resume streams the rest of a partly delivered response from the upstream to the sink.
 func (o *Owner) Resume(ctx context.Context, u *routing.Upstream, progress *delivery.Progress, sink delivery.Sink) error {
-	return o.resume(ctx, u, progress, sink, delivery.ErrBroken)
+	return o.resume(ctx, u, progress, sink, delivery.ErrIncomplete)
 }
 
 // resume retries a response that broke off with err until it is complete or the attempts
 // are used up.
 func (o *Owner) resume(ctx context.Context, u *routing.Upstream, progress *delivery.Progress, sink delivery.Sink, err error) error {
 	for attempt := 0; err != nil; attempt++ {
-		if ctx.Err() != nil || errors.Is(err, delivery.ErrSink) {
-			return work.Uncertain(work.Cancelled, "the reader of the answer left")
+		if ctx.Err() != nil || errors.Is(err, delivery.ErrSinkClosed) {
+			return work.NewUncertainRefusal(work.Cancelled, "the reader of the answer left")
 		}
 		var refusal *work.Refusal
 		if errors.As(err, &refusal) && attempt == 0 {
@@ -107,12 +107,12 @@
 			// a refusal to resume says nothing about its execution.
 			return refusal
 		}
-		if attempt == maxResumes || (progress.Next == 0 && attempt == maxEmptyResumes) {
+		if attempt == maxResumes || (progress.NextPosition == 0 && attempt == maxEmptyResumes) {
 			o.recordFailure(ctx, u)
-			return work.Uncertain(work.UpstreamFailed, "upstream %s broke off at position %d: %v", u.Name(), progress.Next, err)
+			return work.NewUncertainRefusal(work.UpstreamFailed, "upstream %s broke off at position %d: %v", u.Name(), progress.NextPosition, err)
 		}
 		pause.For(ctx, resumeBackoff<<attempt)
-		path := upstream.RequestsPath + progress.ID + "?from=" + strconv.Itoa(progress.Next)
+		path := upstream.RequestsPath + progress.RequestID + "?from=" + strconv.Itoa(progress.NextPosition)
 		err = o.doCall(ctx, u, call{method: http.MethodGet, path: path, idempotent: true, firstFrameTimeout: stallTimeout}, progress, sink)
 	}
 	o.observer.Observe(u.Name(), true)
@@ -132,7 +132,7 @@
 func (o *Owner) doCall(ctx context.Context, u *routing.Upstream, c call, progress *delivery.Progress, sink delivery.Sink) error {
 	ctx, stall := withStallTimeout(ctx, c.firstFrameTimeout)
 	defer stall.stop()
-	resp, err := o.send(ctx, u, c, progress.ID)
+	resp, err := o.send(ctx, u, c, progress.RequestID)
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 	}
 	req.Header.Set(upstream.RequestIDHeader, requestID)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
-	return o.client.DoFor(req, c.idempotent)
+	return o.client.DoByIdempotency(req, c.idempotent)
 }
 
 // errorForStatus returns the error for an upstream's HTTP status. Only 400 and 429
@@ -161,9 +161,9 @@
 func errorForStatus(resp *http.Response, u *routing.Upstream) error {
 	switch resp.StatusCode {
 	case http.StatusBadRequest:
-		return work.Refuse(http.StatusBadRequest, work.BadRequest, "upstream %s refused the request", u.Name())
+		return work.NewRefusal(http.StatusBadRequest, work.BadRequest, "upstream %s refused the request", u.Name())
 	case http.StatusTooManyRequests:
-		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "upstream %s is full", u.Name()).Retry(overloadRetryAfter)
+		return work.NewRefusal(http.StatusServiceUnavailable, work.Overloaded, "upstream %s is full", u.Name()).WithRetryAfter(overloadRetryAfter)
 	default:
 		return fmt.Errorf("upstream %s answered with status %d", u.Name(), resp.StatusCode)
 	}
--- a/jackdawd/internal/dispatch/owner.go
+++ b/jackdawd/internal/dispatch/owner.go
@@ -33,8 +33,8 @@
 // An Owner queues requests for the upstreams that this host owns and sends them on.
 type Owner struct {
 	currentView   func() *routing.View
-	balancer      *routing.Board
-	outputLengths *queue.Lengths
+	balancer      *routing.Balancer
+	outputLengths *queue.LengthEstimator
 	client        *delivery.Client
 	observer      Observer
 	tracer        trace.Tracer
@@ -49,11 +49,11 @@
 }
 
 // NewOwner returns an owner that counts upstream loads in the balancer.
-func NewOwner(currentView func() *routing.View, balancer *routing.Board, client *delivery.Client, observer Observer) *Owner {
+func NewOwner(currentView func() *routing.View, balancer *routing.Balancer, client *delivery.Client, observer Observer) *Owner {
 	return &Owner{
 		currentView:   currentView,
 		balancer:      balancer,
-		outputLengths: queue.NewLengths(0),
+		outputLengths: queue.NewLengthEstimator(0),
 		client:        client,
 		observer:      observer,
 		tracer:        otel.Tracer("jackdawd/dispatch"),
@@ -108,26 +108,26 @@
 // A Move redirects an item to the upstream To, if set; SourceLoad is the load of the one it
 // is moved from.
 type Move struct {
-	To         string     `json:"to"`
-	SourceLoad *peers.Row `json:"seen,omitempty"`
+	To         string              `json:"to"`
+	SourceLoad *peers.UpstreamLoad `json:"seen,omitempty"`
 }
 
 // Serve streams the named upstream's response to the sink, or returns the move to
 // another upstream. The error is a *work.Refusal.
 func (o *Owner) Serve(ctx context.Context, item *work.Item, upstreamName string, attempt int, sink delivery.Sink) (Move, error) {
-	beginDeadline := time.Now().Add(item.BeginWithin)
+	beginDeadline := time.Now().Add(item.RemainingTarget)
 	visited := visitedRows(item)
 	o.balancer.Merge(time.Now(), visited)
 	pool, ok := o.currentView().Pool(item.Model)
 	if !ok {
-		return Move{}, work.Refuse(http.StatusNotFound, work.UnknownModel, "there is no model %q", item.Model)
+		return Move{}, work.NewRefusal(http.StatusNotFound, work.UnknownModel, "there is no model %q", item.Model)
 	}
 	u, ok := pool.Find(upstreamName)
 	if !ok {
 		return moveToFirstChoice(pool, item.Chat)
 	}
 	candidate := routing.Candidate{
-		Chat: item.Chat, At: u, Cost: o.estimateCost(item, pool), Returning: item.Returning(), Urgency: item.Urgency, Attempt: attempt, Seen: visited,
+		Chat: item.Chat, Upstream: u, Cost: o.estimateCost(item, pool), Returning: item.IsReturningChat(), Urgency: item.Urgency, Attempt: attempt, VisitedRows: visited,
 	}
 	q := o.queueFor(u, item.Model)
 	move, release, err := o.admit(ctx, pool, candidate, q, o.newTicket(item, candidate.Cost, beginDeadline))
@@ -148,8 +148,8 @@
 // visitedRows returns the loads of the upstreams that the item was moved away from.
 // They are exact and recent: in a surge they show a rising mean before exchanged rows do.
 func visitedRows(item *work.Item) []routing.Row {
-	rows := make([]routing.Row, len(item.Seen))
-	for i, r := range item.Seen {
+	rows := make([]routing.Row, len(item.VisitedRows))
+	for i, r := range item.VisitedRows {
 		rows[i] = routing.Row(r)
 	}
 	return rows
@@ -173,7 +173,7 @@
 }
 
 func (o *Owner) moveTo(candidate routing.Candidate, to *routing.Upstream) Move {
-	load := peers.Row(o.balancer.Row(candidate.At))
+	load := peers.UpstreamLoad(o.balancer.Row(candidate.Upstream))
 	return Move{To: to.Name(), SourceLoad: &load}
 }
 
@@ -181,7 +181,7 @@
 // remaining time.
 func (o *Owner) acquire(ctx context.Context, q *upstreamQueue, ticket queue.Ticket, placement routing.Placement) (release func(), err error) {
 	if placement == routing.Linger {
-		ticket.BeginBy = ticket.LingerUntil(time.Now())
+		ticket.BeginDeadline = ticket.LingerDeadline(time.Now())
 	}
 	return q.queue.Acquire(ctx, ticket)
 }
@@ -201,7 +201,7 @@
 func moveToFirstChoice(pool *routing.Pool, chat uint64) (Move, error) {
 	ranked := pool.Rank(chat)
 	if len(ranked) == 0 {
-		return Move{}, work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "no upstream serves %q", pool.Model()).Retry(overloadRetryAfter)
+		return Move{}, work.NewRefusal(http.StatusServiceUnavailable, work.NoUpstream, "no upstream serves %q", pool.Model()).WithRetryAfter(overloadRetryAfter)
 	}
 	return Move{To: ranked[0].Name()}, nil
 }
@@ -212,30 +212,30 @@
 		// Retry-After is the expected wait, within bounds: the measured drain rate
 		// does not predict more than a minute ahead.
 		retryAfter := min(max(late.Wait, overloadRetryAfter), maxRetryAfter)
-		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "class %q: %v", item.Class, err).Retry(retryAfter)
+		return work.NewRefusal(http.StatusServiceUnavailable, work.Overloaded, "class %q: %v", item.Class, err).WithRetryAfter(retryAfter)
 	}
 	if errors.Is(err, queue.ErrTooLate) || errors.Is(err, queue.ErrFull) {
-		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "class %q: %v", item.Class, err).Retry(overloadRetryAfter)
+		return work.NewRefusal(http.StatusServiceUnavailable, work.Overloaded, "class %q: %v", item.Class, err).WithRetryAfter(overloadRetryAfter)
 	}
-	return work.Refuse(http.StatusServiceUnavailable, work.Cancelled, "the caller left: %v", err)
+	return work.NewRefusal(http.StatusServiceUnavailable, work.Cancelled, "the caller left: %v", err)
 }
 
 func (o *Owner) estimateCost(item *work.Item, pool *routing.Pool) int64 {
 	if pool.Kind() == targets.Service {
 		return 1
 	}
-	return item.PromptTokens() + o.outputLengths.Expect(item.Class, item.MaxTokens)
+	return item.PromptTokens() + o.outputLengths.Estimate(item.Class, item.MaxTokens)
 }
 
 func (o *Owner) newTicket(item *work.Item, cost int64, beginDeadline time.Time) queue.Ticket {
 	return queue.Ticket{
-		Workspace: item.Workspace,
-		Class:     item.Class,
-		Urgency:   item.Urgency,
-		Share:     o.currentView().Document().Classes[item.Class].Share,
-		Cost:      cost,
-		Returning: item.Returning(),
-		BeginBy:   beginDeadline,
+		Workspace:     item.Workspace,
+		Class:         item.Class,
+		Urgency:       item.Urgency,
+		Share:         o.currentView().Document().Classes[item.Class].Share,
+		Cost:          cost,
+		Returning:     item.IsReturningChat(),
+		BeginDeadline: beginDeadline,
 	}
 }
 
--- a/jackdawd/internal/dispatch/peer.go
+++ b/jackdawd/internal/dispatch/peer.go
@@ -46,7 +46,7 @@
 // Serve forwards an item to its owner and the frames of the response to the sink.
 func (p *HTTPPeer) Serve(ctx context.Context, host routing.EntryHost, item *work.Item, upstreamName string, attempt int, sink delivery.Sink) (Move, error) {
 	// The owner resumes a stalled upstream itself, so only a hanging owner exceeds this timeout.
-	ctx, stall := withStallTimeout(ctx, item.BeginWithin+maxFirstFrameTimeout+stallTimeout)
+	ctx, stall := withStallTimeout(ctx, item.RemainingTarget+maxFirstFrameTimeout+stallTimeout)
 	defer stall.stop()
 	resp, err := p.send(ctx, host, item, upstreamName, attempt)
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusOK {
-		return Move{}, delivery.Copy(resp.Body, &delivery.Progress{ID: item.ID}, func(f upstream.Frame) error {
+		return Move{}, delivery.Copy(resp.Body, &delivery.Progress{RequestID: item.ID}, func(f upstream.Frame) error {
 			stall.reset(ownerStallTimeout)
 			return sink(f)
 		})
@@ -66,17 +66,17 @@
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		var move Move
 		if err := json.Unmarshal(body, &move); err != nil || move.To == "" {
-			return Move{}, work.Refuse(http.StatusBadGateway, work.UpstreamFailed, "host %s moved the request nowhere", host.Name())
+			return Move{}, work.NewRefusal(http.StatusBadGateway, work.UpstreamFailed, "host %s moved the request nowhere", host.Name())
 		}
 		return move, nil
 	}
-	return Move{}, work.ReadRefusal(resp, body)
+	return Move{}, work.DecodeRefusal(resp, body)
 }
 
 func (p *HTTPPeer) send(ctx context.Context, host routing.EntryHost, item *work.Item, upstreamName string, attempt int) (*http.Response, error) {
 	body, err := json.Marshal(item)
 	if err != nil {
-		return nil, work.Refuse(http.StatusBadRequest, work.BadRequest, "the request cannot be encoded")
+		return nil, work.NewRefusal(http.StatusBadRequest, work.BadRequest, "the request cannot be encoded")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host.Address()+PeerPath, bytes.NewReader(body))
 	if err != nil {
@@ -86,7 +86,7 @@
 	req.Header.Set(attemptHeader, strconv.Itoa(attempt))
 	req.Header.Set(secretHeader, p.secret)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
-	return p.client.DoFor(req, item.Idempotent)
+	return p.client.DoByIdempotency(req, item.Idempotent)
 }
 
 // PeerHandler returns the HTTP handler for items that other entry hosts forward.
@@ -95,7 +95,7 @@
 		// Callers may be able to reach this address too; without the secret they
 		// could bypass authentication and use another workspace's name.
 		if !matchesAny(r.Header.Get(secretHeader), secrets) {
-			work.Refuse(http.StatusForbidden, work.Forbidden, "the fleet secret is wrong").Write(w)
+			work.NewRefusal(http.StatusForbidden, work.Forbidden, "the fleet secret is wrong").Write(w)
 			return
 		}
 		if stopping() {
@@ -103,12 +103,12 @@
 			// outcome of a request sent at that moment would be unknown; so the host refuses
 			// requests as not run and asks the peer to close each connection.
 			w.Header().Set("Connection", "close")
-			work.Refuse(http.StatusServiceUnavailable, work.Stopping, "the host is stopping").Write(w)
+			work.NewRefusal(http.StatusServiceUnavailable, work.Stopping, "the host is stopping").Write(w)
 			return
 		}
 		var item work.Item
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxItemBytes)).Decode(&item); err != nil {
-			work.Refuse(http.StatusBadRequest, work.BadRequest, "the item cannot be read").Write(w)
+			work.NewRefusal(http.StatusBadRequest, work.BadRequest, "the item cannot be read").Write(w)
 			return
 		}
 		serveForwarded(owner, &item, w, r)
@@ -118,7 +118,7 @@
 func serveForwarded(owner *Owner, item *work.Item, w http.ResponseWriter, r *http.Request) {
 	attempt, err := strconv.Atoi(r.Header.Get(attemptHeader))
 	if err != nil {
-		work.Refuse(http.StatusBadRequest, work.BadRequest, "%s is no number", attemptHeader).Write(w)
+		work.NewRefusal(http.StatusBadRequest, work.BadRequest, "%s is no number", attemptHeader).Write(w)
 		return
 	}
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
@@ -140,7 +140,7 @@
 	case errors.As(err, &refusal):
 		refusal.Write(w)
 	default:
-		work.Uncertain(work.UpstreamFailed, "no answer: %v", err).Write(w)
+		work.NewUncertainRefusal(work.UpstreamFailed, "no answer: %v", err).Write(w)
 	}
 }
 
--- a/jackdawd/internal/dispatch/router.go
+++ b/jackdawd/internal/dispatch/router.go
@@ -29,7 +29,7 @@
 
 // A Meter counts retries.
 type Meter interface {
-	Retried(code work.Code)
+	RecordRetry(code work.Code)
 }
 
 // A Router sends callers' items to the owners of their upstreams, and retries failed ones.
@@ -63,7 +63,7 @@
 	// upstreamName is the upstream to try next; attempt counts the moves so far.
 	upstreamName    string
 	attempt         int
-	visited         []peers.Row
+	visited         []peers.UpstreamLoad
 	failedUpstreams []string
 	excludedOwners  []string
 	beginDeadline   time.Time
@@ -78,15 +78,15 @@
 	defer span.End()
 	pool, ok := r.currentView().Pool(item.Model)
 	if !ok {
-		return work.Refuse(http.StatusNotFound, work.UnknownModel, "there is no model %q", item.Model)
+		return work.NewRefusal(http.StatusNotFound, work.UnknownModel, "there is no model %q", item.Model)
 	}
-	r.budget.Earn()
+	r.budget.Deposit()
 	rt := &route{
 		Router: r, item: item, sink: sink, pool: pool,
-		progress: delivery.Progress{ID: item.ID}, beginDeadline: time.Now().Add(item.BeginWithin),
+		progress: delivery.Progress{RequestID: item.ID}, beginDeadline: time.Now().Add(item.RemainingTarget),
 	}
 	if !rt.selectUpstream() {
-		return work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "no upstream serves %q", item.Model).Retry(overloadRetryAfter)
+		return work.NewRefusal(http.StatusServiceUnavailable, work.NoUpstream, "no upstream serves %q", item.Model).WithRetryAfter(overloadRetryAfter)
 	}
 	err := rt.run(ctx)
 	if ctx.Err() != nil && err != nil {
@@ -148,7 +148,7 @@
 	}
 	if lastErr == nil {
 		// Every owner moved the item, so no upstream has received it.
-		return work.Refuse(http.StatusServiceUnavailable, work.Overloaded, "every upstream tried is full").Retry(overloadRetryAfter)
+		return work.NewRefusal(http.StatusServiceUnavailable, work.Overloaded, "every upstream tried is full").WithRetryAfter(overloadRetryAfter)
 	}
 	return lastErr
 }
@@ -170,35 +170,35 @@
 
 func (rt *route) tryOwner(ctx context.Context) (Move, error) {
 	item := *rt.item
-	item.BeginWithin = time.Until(rt.beginDeadline)
+	item.RemainingTarget = time.Until(rt.beginDeadline)
 	u, ok := rt.pool.Find(rt.upstreamName)
 	if !ok {
 		// One host's list is newer; if it is this one, Gone tells the owner that the
 		// upstream has left.
-		rt.visited = append(rt.visited, peers.Row{Upstream: routing.HashOf(rt.upstreamName), Gone: true})
+		rt.visited = append(rt.visited, peers.UpstreamLoad{Upstream: routing.NameHash(rt.upstreamName), Gone: true})
 		u, ok = rt.refreshUpstream()
 	}
 	if !ok {
-		return Move{}, work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s has left", rt.upstreamName).Retry(overloadRetryAfter)
+		return Move{}, work.NewRefusal(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s has left", rt.upstreamName).WithRetryAfter(overloadRetryAfter)
 	}
-	item.Seen = rt.visited
+	item.VisitedRows = rt.visited
 	view := rt.currentView()
 	host, ok := view.Owner(u.Hash(), rt.excludedOwners...)
 	if !ok || host.Name() == view.Self() {
 		return rt.owner.Serve(ctx, &item, u.Name(), rt.attempt, rt.forwardFrame)
 	}
 	move, err := rt.peer.Serve(ctx, host, &item, u.Name(), rt.attempt, rt.forwardFrame)
-	if err != nil && (ctx.Err() != nil || errors.Is(err, delivery.ErrSink)) {
+	if err != nil && (ctx.Err() != nil || errors.Is(err, delivery.ErrSinkClosed)) {
 		// The caller cancelled, which looks like a broken connection. If it counted as the
 		// owner's failure, three cancelled requests would make a healthy owner avoided.
-		return Move{}, work.Uncertain(work.Cancelled, "the caller left")
+		return Move{}, work.NewUncertainRefusal(work.Cancelled, "the caller left")
 	}
 	var refusal *work.Refusal
 	if errors.As(err, &refusal) && refusal.Code == work.Stopping {
 		rt.excludedOwners = append(rt.excludedOwners, host.Name())
 		return Move{}, errOwnerUnreachable
 	}
-	if delivery.NeverSent(err) {
+	if delivery.IsDialError(err) {
 		rt.observer.Observe(host.Name(), false)
 		rt.excludedOwners = append(rt.excludedOwners, host.Name())
 		return Move{}, errOwnerUnreachable
@@ -232,7 +232,7 @@
 	if err := rt.sink(f); err != nil {
 		return err
 	}
-	rt.progress.Next = f.Position + 1
+	rt.progress.NextPosition = f.Position + 1
 	rt.progress.Finished = f.Finish != ""
 	return nil
 }
@@ -248,33 +248,33 @@
 	}
 	var refusal *work.Refusal
 	if !errors.As(err, &refusal) {
-		refusal = work.Uncertain(work.UpstreamFailed, "the answer broke off: %v", err)
+		refusal = work.NewUncertainRefusal(work.UpstreamFailed, "the answer broke off: %v", err)
 	}
 	rt.mayHaveRun = rt.mayHaveRun || refusal.Outcome != work.NotRun
 	if ctx.Err() != nil {
 		return false, refusal
 	}
-	if rt.progress.Next > 0 {
+	if rt.progress.NextPosition > 0 {
 		return false, rt.resume(ctx, refusal)
 	}
 	if errors.Is(err, errOwnerConnectionLost) {
 		return rt.handleOwnerLost(ctx, refusal)
 	}
-	if !rt.retryable(refusal) || !rt.budget.Spend() {
+	if !rt.retryable(refusal) || !rt.budget.TryWithdraw() {
 		return false, refusal
 	}
 	if refusal.Outcome != work.NotRun {
 		// A hanging upstream that recovers should not go on with abandoned work.
 		go rt.cancelOn(rt.upstreamName)
 	}
-	rt.meter.Retried(refusal.Code)
+	rt.meter.RecordRetry(refusal.Code)
 	rt.failedUpstreams = append(rt.failedUpstreams, rt.upstreamName)
 	// Without the Gone row, an owner that remembers the chat at the failed upstream
 	// would keep moving it back there until the tries are used up.
-	rt.visited = append(rt.visited, peers.Row{Upstream: routing.HashOf(rt.upstreamName), Gone: true})
+	rt.visited = append(rt.visited, peers.UpstreamLoad{Upstream: routing.NameHash(rt.upstreamName), Gone: true})
 	rt.attempt = 1
 	// The target is already missed, but a late response is better than none.
-	rt.beginDeadline = time.Now().Add(rt.item.BeginWithin)
+	rt.beginDeadline = time.Now().Add(rt.item.RemainingTarget)
 	logrus.WithFields(logrus.Fields{"request": rt.item.ID, "upstream": rt.upstreamName, "code": refusal.Code}).Info("dispatch: Retrying on another upstream.")
 	return rt.selectUpstream(), refusal
 }
@@ -284,7 +284,7 @@
 // generation, and resuming never starts a new one.
 func (rt *route) handleOwnerLost(ctx context.Context, refusal *work.Refusal) (retry bool, finalErr error) {
 	if rt.item.Idempotent {
-		return rt.budget.Spend(), refusal
+		return rt.budget.TryWithdraw(), refusal
 	}
 	if rt.item.Service != nil {
 		return false, refusal
@@ -309,7 +309,7 @@
 // be appended to the part already sent.
 func (rt *route) resume(ctx context.Context, refusal *work.Refusal) error {
 	u, ok := rt.pool.Find(rt.upstreamName)
-	if !ok || rt.item.Service != nil || !rt.budget.Spend() {
+	if !ok || rt.item.Service != nil || !rt.budget.TryWithdraw() {
 		return refusal
 	}
 	return rt.owner.Resume(ctx, u, &rt.progress, rt.sink)
--- a/jackdawd/internal/dispatch/service.go
+++ b/jackdawd/internal/dispatch/service.go
@@ -23,22 +23,22 @@
 	callCtx, cancel := context.WithTimeout(ctx, maxFirstFrameTimeout)
 	defer cancel()
 	answer, err := o.requestService(callCtx, item, u)
-	if delivery.NeverSent(err) {
+	if delivery.IsDialError(err) {
 		o.recordFailure(ctx, u)
-		return work.Refuse(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s cannot be reached", u.Name()).Retry(overloadRetryAfter)
+		return work.NewRefusal(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s cannot be reached", u.Name()).WithRetryAfter(overloadRetryAfter)
 	}
 	if err != nil {
 		o.recordFailure(ctx, u)
-		return work.Uncertain(work.UpstreamFailed, "upstream %s gave no whole answer: %v", u.Name(), err)
+		return work.NewUncertainRefusal(work.UpstreamFailed, "upstream %s gave no whole answer: %v", u.Name(), err)
 	}
 	o.observer.Observe(u.Name(), true)
-	if err := sink(upstream.Frame{RequestID: item.ID, Finish: upstream.FinishStop, Answer: answer}); err != nil {
-		return work.Uncertain(work.Cancelled, "the reader of the answer left")
+	if err := sink(upstream.Frame{RequestID: item.ID, Finish: upstream.FinishStop, Response: answer}); err != nil {
+		return work.NewUncertainRefusal(work.Cancelled, "the reader of the answer left")
 	}
 	return nil
 }
 
-func (o *Owner) requestService(ctx context.Context, item *work.Item, u *routing.Upstream) (*upstream.Answer, error) {
+func (o *Owner) requestService(ctx context.Context, item *work.Item, u *routing.Upstream) (*upstream.ServiceResponse, error) {
 	path := upstream.ServicePath + item.Model + "/" + item.Service.Path
 	req, err := http.NewRequestWithContext(ctx, item.Service.Method, "http://"+u.Address()+path, bytes.NewReader(item.Service.Body))
 	if err != nil {
@@ -49,17 +49,17 @@
 		req.Header.Set("Content-Type", item.Service.ContentType)
 	}
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
-	resp, err := o.client.DoFor(req, item.Idempotent)
+	resp, err := o.client.DoByIdempotency(req, item.Idempotent)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if id := resp.Header.Get(upstream.RequestIDHeader); id != "" && id != item.ID {
-		return nil, &delivery.CrossedError{Want: item.ID, Got: id}
+		return nil, &delivery.UnexpectedFrameError{WantID: item.ID, GotID: id}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceResponseBytes))
 	if err != nil {
 		return nil, err
 	}
-	return &upstream.Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
+	return &upstream.ServiceResponse{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/jackdawd/internal/entry/admin.go
+++ b/jackdawd/internal/entry/admin.go
@@ -42,7 +42,7 @@
 	if c := snapshot.Configuration(); c != nil {
 		status.Revision = c.Version()
 	}
-	for name, pool := range snapshot.Pools() {
+	for name, pool := range snapshot.ReadyPools() {
 		status.Upstreams = append(status.Upstreams, h.describeUpstreams(name, pool)...)
 	}
 	status.Quarantined = h.quarantinedRequests()
@@ -52,12 +52,12 @@
 
 // quarantinedRequests returns the requests that are not sent to upstreams because they crash
 // them.
-func (h *Host) quarantinedRequests() []report.Quarantined {
+func (h *Host) quarantinedRequests() []report.QuarantinedRequest {
 	now := time.Now()
-	var requests []report.Quarantined
-	for _, r := range h.quarantine.AllBarred(now) {
-		left, _ := h.quarantine.Barred(now, r.Request)
-		requests = append(requests, report.Quarantined{Fingerprint: r.Request.String(), Crashes: len(r.Crashes), Left: targets.Duration(left.Round(time.Second))})
+	var requests []report.QuarantinedRequest
+	for _, r := range h.quarantine.AllQuarantined(now) {
+		left, _ := h.quarantine.Quarantined(now, r.Request)
+		requests = append(requests, report.QuarantinedRequest{Fingerprint: r.Request.String(), Crashes: len(r.Crashes), Remaining: targets.Duration(left.Round(time.Second))})
 	}
 	return requests
 }
@@ -68,7 +68,7 @@
 	reports := make([]report.Upstream, len(upstreams))
 	for i, u := range upstreams {
 		reports[i] = report.Upstream{
-			Name: u.ID, Model: pool, FailureDomain: u.FailureDomain, Load: int64(loads[i].Requests()), Known: true, Mean: mean, Limit: int64(u.Slots),
+			Name: u.ID, Model: pool, FailureDomain: u.FailureDomain, Load: int64(loads[i].Requests()), LoadKnown: true, MeanLoad: mean, Limit: int64(u.Slots),
 		}
 	}
 	return reports
@@ -77,11 +77,11 @@
 // explain returns the first candidates for a shared part of a prompt, by descending rendezvous
 // rank, or false if there is no such pool.
 func (h *Host) explain(pool, sharedPart string) (report.Explanation, bool) {
-	upstreams, ok := h.members.Snapshot().Pools()[pool]
+	upstreams, ok := h.members.Snapshot().ReadyPools()[pool]
 	if !ok {
 		return report.Explanation{}, false
 	}
-	explanation := report.Explanation{Host: h.options.Name, Model: pool, Multiple: h.bounds.Load().LoadMultiple}
+	explanation := report.Explanation{Host: h.options.Name, Model: pool, LoadMultiple: h.bounds.Load().LoadMultiple}
 	ranked := placement.Rank(xxhash.Sum64String(sharedPart), upstreams)
 	explanation.Candidates = h.describeUpstreams(pool, ranked[:min(len(ranked), maxExplainedCandidates)])
 	return explanation, true
--- a/jackdawd/internal/entry/gauges.go
+++ b/jackdawd/internal/entry/gauges.go
@@ -15,11 +15,11 @@
 func (h *Host) registerGauges(m *telemetry.Meter) {
 	m.Gauge("requests_in_progress", h.handler.InProgress)
 	m.Gauge("caller_connections", h.conns.count)
-	m.Gauge("upstream_connections_opened", h.client.Dialed)
+	m.Gauge("upstream_connections_opened", h.client.DialCount)
 	m.Gauge("configuration_age_milliseconds", func() int64 { return min(h.members.Age(), time.Hour).Milliseconds() })
 	m.Gauge("upstream_list_age_milliseconds", func() int64 { return min(h.source.ListAge(), time.Hour).Milliseconds() })
-	m.Gauge("out_of_touch_milliseconds", func() int64 { return h.members.OutOfTouch().Milliseconds() })
-	m.Gauge("configuration_late_milliseconds", func() int64 { return h.members.Late().Milliseconds() })
+	m.Gauge("out_of_touch_milliseconds", func() int64 { return h.members.StaleTime().Milliseconds() })
+	m.Gauge("configuration_late_milliseconds", func() int64 { return h.members.OverAgeTime().Milliseconds() })
 	m.Gauge("requests_suspected", func() int64 {
 		suspected, _ := h.quarantine.Counts()
 		return int64(suspected)
@@ -52,16 +52,16 @@
 		}
 		return 0
 	})
-	m.Family("retries_left", "pool", h.budgets.Left)
-	m.Family("pool_upstreams", "pool", h.poolSizes)
-	m.Family("pool_load_bound", "pool", h.poolLoadBounds)
-	m.Family("upstream_requests", "upstream", h.upstreamRequests)
-	m.Family("upstreams_avoided", "pool", h.poolAvoided)
+	m.GaugeFamily("retries_left", "pool", h.budgets.Remaining)
+	m.GaugeFamily("pool_upstreams", "pool", h.poolSizes)
+	m.GaugeFamily("pool_load_bound", "pool", h.poolLoadBounds)
+	m.GaugeFamily("upstream_requests", "upstream", h.upstreamRequests)
+	m.GaugeFamily("upstreams_avoided", "pool", h.poolAvoided)
 }
 
 func (h *Host) poolSizes() map[string]int64 {
 	sizes := map[string]int64{}
-	for name, pool := range h.members.Snapshot().Pools() {
+	for name, pool := range h.members.Snapshot().ReadyPools() {
 		sizes[name] = int64(len(pool))
 	}
 	return sizes
@@ -70,9 +70,9 @@
 // poolLoadBounds returns the maximum load of an upstream, in requests, by pool.
 func (h *Host) poolLoadBounds() map[string]int64 {
 	bounds, now := map[string]int64{}, time.Now()
-	plan := h.balancer.Spread(now)
-	for name, pool := range h.members.Snapshot().Pools() {
-		choice := placement.Choice{Loads: h.loads.All(now, pool), Multiple: h.bounds.Load().LoadMultiple, Spread: plan, Pool: name}
+	plan := h.balancer.LocalPlan(now)
+	for name, pool := range h.members.Snapshot().ReadyPools() {
+		choice := placement.Choice{Loads: h.loads.All(now, pool), LoadMultiple: h.bounds.Load().LoadMultiple, Plan: plan, Pool: name}
 		bounds[name] = int64(choice.Limit())
 	}
 	return bounds
@@ -81,7 +81,7 @@
 func (h *Host) poolAvoided() map[string]int64 {
 	snapshot := h.members.Snapshot()
 	avoided := map[string]int64{}
-	for name, pool := range snapshot.Pools() {
+	for name, pool := range snapshot.ReadyPools() {
 		for _, u := range pool {
 			if snapshot.Avoided(u.ID) {
 				avoided[name]++
@@ -97,7 +97,7 @@
 func (h *Host) upstreamRequests() map[string]int64 {
 	requests := map[string]int64{}
 	otherRequests, otherCount := int64(0), 0
-	for _, pool := range h.members.Snapshot().Pools() {
+	for _, pool := range h.members.Snapshot().ReadyPools() {
 		for _, u := range pool {
 			load := int64(h.loads.Estimate(time.Now(), u))
 			if len(requests) < maxNamedUpstreams {
--- a/jackdawd/internal/entry/host.go
+++ b/jackdawd/internal/entry/host.go
@@ -44,7 +44,7 @@
 // upstreams.
 type Protocol interface {
 	relay.Protocol
-	exchange.Heads
+	exchange.HeadParser
 }
 
 // Options are the parameters and dependencies of a host.
@@ -52,44 +52,44 @@
 	Name string
 	// The addresses on which the host serves callers, readiness probes, and metrics, status and
 	// explanations. If the last one is empty, these are not served.
-	Callers       string
-	Readiness     string
-	Inner         string
-	FailureDomain string
-	Region        string
-	// Near reports whether a failure domain is in this host's region.
-	Near           func(failureDomain string) bool
+	CallerAddress    string
+	ReadinessAddress string
+	AdminAddress     string
+	FailureDomain    string
+	Region           string
+	// InSameRegion reports whether a failure domain is in this host's region.
+	InSameRegion   func(failureDomain string) bool
 	Protocol       Protocol
 	Configurations fleet.StoreConfigurations
 	Upstreams      fleet.StoreUpstreams
-	// Peers is the address at which other hosts reach this one, or empty if they cannot.
-	Peers string
+	// PeerAddress is the address at which other hosts reach this one, or empty if they cannot.
+	PeerAddress string
 	// Strength is this host's capacity to send and compute, relative to other hosts.
 	Strength float64
 	// FirstStart is true while the whole system starts for the first time.
 	FirstStart bool
-	// Board holds the entries that hosts write about themselves.
-	Board fleet.Board
-	// QuarantineBoard holds the notices of requests that crash upstreams.
-	QuarantineBoard fleet.QuarantineBoard
-	// Decode decodes a configuration received from another host.
-	Decode func(document []byte) (*traffic.Configuration, error)
-	Bounds Bounds
-	// MostBodies is the maximum total size in bytes of the bodies of requests in progress.
-	MostBodies int64
-	// Sockets is the maximum number of sockets that the process may open.
-	Sockets int
-	Meter   *telemetry.Meter
+	// HostRegistry holds the entries that hosts write about themselves.
+	HostRegistry fleet.HostRegistry
+	// QuarantineStore holds the notices of requests that crash upstreams.
+	QuarantineStore fleet.QuarantineStore
+	// DecodeConfiguration decodes a configuration received from another host.
+	DecodeConfiguration func(document []byte) (*traffic.Configuration, error)
+	Bounds              Bounds
+	// MaxTotalBodyBytes is the maximum total size in bytes of the bodies of requests in progress.
+	MaxTotalBodyBytes int64
+	// MaxSockets is the maximum number of sockets that the process may open.
+	MaxSockets int
+	Meter      *telemetry.Meter
 	// The loggers of requests answered at the first attempt, and of all others.
-	Usual   *logrus.Logger
-	Unusual *logrus.Logger
+	RoutineLogger *logrus.Logger
+	AnomalyLogger *logrus.Logger
 }
 
 // Bounds are the limits that operators set. They may change while the host runs.
 type Bounds struct {
 	membership.Bounds
-	// Grace is the grace period: how long a stop may take.
-	Grace time.Duration
+	// GracePeriod is the grace period: how long a stop may take.
+	GracePeriod time.Duration
 	// RetryRatio is the ratio of retries to requests that all hosts together may send.
 	RetryRatio float64
 	// LoadMultiple is the maximum load of an upstream as a multiple of the mean load.
@@ -100,9 +100,9 @@
 type Host struct {
 	options Options
 	bounds  atomic.Pointer[Bounds]
-	budgets *relay.Budgets
+	budgets *relay.RetryBudgets
 	source  *fleet.Source
-	members *membership.Keeper
+	members *membership.Tracker
 	client  *exchange.Client
 	// quarantine records which requests crash upstreams.
 	quarantine      *quarantine.Registry
@@ -120,24 +120,24 @@
 
 // NewHost returns a host that has started to read the configuration and does not serve yet.
 func NewHost(o Options) (*Host, error) {
-	h := &Host{options: o, loads: placement.NewLoads(), quarantine: quarantine.NewRegistry(), conns: newCallerConns(maxCallerConns(o.Sockets)), serverErr: make(chan error, 1)}
+	h := &Host{options: o, loads: placement.NewLoads(), quarantine: quarantine.NewRegistry(), conns: newCallerConns(maxCallerConns(o.MaxSockets)), serverErr: make(chan error, 1)}
 	h.bounds.Store(&o.Bounds)
 	h.balancer = placement.NewBalancer(h.loads, h.engines, h.loadMultiple)
 	h.source = fleet.NewSource(fleet.Options{
-		Name: o.Name, FailureDomain: o.FailureDomain, Region: o.Region, Address: o.Peers, Strength: o.Strength, FirstStart: o.FirstStart, Board: o.Board,
-		Configurations: o.Configurations, Upstreams: o.Upstreams, Plans: h.balancer, Uptime: uptime, InForce: h.maxConfigurationAge, Decode: o.Decode,
-		Quarantine: h.quarantine, QuarantineBoard: o.QuarantineBoard,
+		Name: o.Name, FailureDomain: o.FailureDomain, Region: o.Region, Address: o.PeerAddress, Strength: o.Strength, FirstStart: o.FirstStart, HostRegistry: o.HostRegistry,
+		Configurations: o.Configurations, Upstreams: o.Upstreams, Plans: h.balancer, Uptime: uptime, InForce: h.maxConfigurationAge, Decode: o.DecodeConfiguration,
+		Quarantine: h.quarantine, QuarantineStore: o.QuarantineStore,
 	})
-	h.members = membership.NewKeeper(membership.Options{
+	h.members = membership.NewTracker(membership.Options{
 		Configurations: h.source.Configurations(), Upstreams: h.source.Upstreams(), Uptime: uptime, Bounds: o.Bounds.Bounds,
 	})
 	h.source.Start(h.members)
 	h.client = exchange.NewClient(o.Protocol, nil)
-	h.budgets = relay.NewBudgets(o.Bounds.RetryRatio)
+	h.budgets = relay.NewRetryBudgets(o.Bounds.RetryRatio)
 	h.handler = relay.NewHandler(relay.Options{
-		Protocol: o.Protocol, Members: h.members, Client: h.client, Loads: h.loads, Balancer: h.balancer, Warmth: placement.NewWarmth(), Turnovers: placement.NewTurnovers(),
-		Budgets: h.budgets, Admission: admission.NewController(), Quarantine: h.quarantine, Pauses: relay.NewPauses(), Journal: stories.NewWriter(o.Usual, o.Unusual, o.Meter),
-		FailureDomain: o.FailureDomain, Near: o.Near, MostBodies: o.MostBodies, LoadMultiple: h.loadMultiple, Hosts: h.hostCount,
+		Protocol: o.Protocol, Membership: h.members, Client: h.client, Loads: h.loads, Balancer: h.balancer, Warmth: placement.NewCacheLocations(), Turnovers: placement.NewRequestStats(),
+		RetryBudgets: h.budgets, Admission: admission.NewController(), Quarantine: h.quarantine, Backoffs: relay.NewBackoffs(), Recorder: stories.NewWriter(o.RoutineLogger, o.AnomalyLogger, o.Meter),
+		FailureDomain: o.FailureDomain, InSameRegion: o.InSameRegion, MaxTotalBodyBytes: o.MaxTotalBodyBytes, LoadMultiple: h.loadMultiple, HostCount: h.hostCount,
 	})
 	h.registerGauges(o.Meter)
 	h.createServers(o.Meter)
@@ -167,7 +167,7 @@
 	if configuration == nil {
 		return byPool
 	}
-	for name, upstreams := range snapshot.Pools() {
+	for name, upstreams := range snapshot.ReadyPools() {
 		if pool, ok := configuration.Pool(name); ok && pool.Engine {
 			byPool[name] = upstreams
 		}
@@ -177,7 +177,7 @@
 
 func (h *Host) hostCount() int { return h.source.Directory().Size() }
 
-func (h *Host) maxConfigurationAge() time.Duration { return h.bounds.Load().InForce }
+func (h *Host) maxConfigurationAge() time.Duration { return h.bounds.Load().MaxConfigurationAge }
 
 func (h *Host) loadMultiple() float64 { return h.bounds.Load().LoadMultiple }
 
@@ -191,10 +191,10 @@
 // createServers creates the HTTP servers. Callers may use every path, so requests bypass the
 // library's router, which would redirect some paths.
 func (h *Host) createServers(meter *telemetry.Meter) {
-	h.callerServer = newCallerServer(h.options.Callers, h.handler, h.conns)
-	h.readinessServer = newServer(h.options.Readiness, http.HandlerFunc(h.serveReadiness))
-	if h.options.Inner != "" {
-		h.adminServer = newServer(h.options.Inner, h.adminHandler(meter.Handler()))
+	h.callerServer = newCallerServer(h.options.CallerAddress, h.handler, h.conns)
+	h.readinessServer = newServer(h.options.ReadinessAddress, http.HandlerFunc(h.serveReadiness))
+	if h.options.AdminAddress != "" {
+		h.adminServer = newServer(h.options.AdminAddress, h.adminHandler(meter.Handler()))
 	}
 }
 
@@ -238,7 +238,7 @@
 			}
 		}()
 	}
-	logrus.WithField("callers", h.options.Callers).Info("entry: The host serves.")
+	logrus.WithField("callers", h.options.CallerAddress).Info("entry: The host serves.")
 	select {
 	case <-ctx.Done():
 		return nil
@@ -259,9 +259,9 @@
 func (h *Host) Stop() error {
 	start := time.Now()
 	h.draining.Store(true)
-	h.handler.Stopping(start.Add(balancerDrainDelay))
+	h.handler.Drain(start.Add(balancerDrainDelay))
 	logrus.WithField("in-progress", h.handler.InProgress()).Info("entry: Stopping. Requests in progress finish.")
-	deadline := start.Add(h.bounds.Load().Grace - abortMargin)
+	deadline := start.Add(h.bounds.Load().GracePeriod - abortMargin)
 	for time.Now().Before(deadline) {
 		if time.Since(start) > balancerDrainDelay && h.handler.InProgress() == 0 {
 			break
--- a/jackdawd/internal/events/splitter.go
+++ b/jackdawd/internal/events/splitter.go
@@ -28,20 +28,20 @@
 	return complete
 }
 
-// Pending returns the number of buffered bytes of an incomplete event.
-func (s *Splitter) Pending() int { return len(s.pending) }
+// PendingBytes returns the number of buffered bytes of an incomplete event.
+func (s *Splitter) PendingBytes() int { return len(s.pending) }
 
-// Overlong reports whether the incomplete event exceeds the maximum size of an event.
-func (s *Splitter) Overlong() bool { return len(s.pending) > maxPendingBytes }
+// IsPendingTooLarge reports whether the incomplete event exceeds the maximum size of an event.
+func (s *Splitter) IsPendingTooLarge() bool { return len(s.pending) > maxPendingBytes }
 
-// Drop discards the incomplete event, whose stream broke off.
-func (s *Splitter) Drop() { s.pending = s.pending[:0] }
+// DiscardPending discards the incomplete event, whose stream broke off.
+func (s *Splitter) DiscardPending() { s.pending = s.pending[:0] }
 
-// LastID returns the identifier of the last complete event that had one, empty if none had.
-func (s *Splitter) LastID() string { return s.lastID }
+// LastEventID returns the identifier of the last complete event that had one, empty if none had.
+func (s *Splitter) LastEventID() string { return s.lastID }
 
-// Events returns the number of complete events.
-func (s *Splitter) Events() int { return s.events }
+// EventCount returns the number of complete events.
+func (s *Splitter) EventCount() int { return s.events }
 
 // trackEvents counts complete events and remembers the identifier of the last one that has any.
 func (s *Splitter) trackEvents(complete []byte) {
--- a/jackdawd/internal/exchange/client.go
+++ b/jackdawd/internal/exchange/client.go
@@ -38,17 +38,17 @@
 	closeInterval = time.Second
 )
 
-// Heads parses the headers of responses.
-type Heads interface {
-	Answer(status int, h http.Header) traffic.Answer
+// HeadParser parses the headers of responses.
+type HeadParser interface {
+	Answer(status int, h http.Header) traffic.Response
 }
 
-// A Call is one request to one upstream.
-type Call struct {
+// A Request is one request to one upstream.
+type Request struct {
 	Address string
 	// Upstream is the start of the upstream that is to run the request. Connections to an earlier
 	// start at the same address are not used.
-	Upstream traffic.Start
+	Upstream traffic.UpstreamInstance
 	// ID is the request identifier that the response must carry.
 	ID     string
 	Method string
@@ -57,22 +57,22 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HeadWithin is the timeout for the header of the response; 0 means that only the context
+	// HeaderTimeout is the timeout for the header of the response; 0 means that only the context
 	// bounds it.
-	HeadWithin time.Duration
-	// GiveUp is called each time the timeout for the header, or later the one for reads of the
+	HeaderTimeout time.Duration
+	// AbortOnTimeout is called each time the timeout for the header, or later the one for reads of the
 	// body, has passed without data, and reports whether to stop waiting; nil means always.
-	GiveUp func() bool
-	// MaxIdle bounds how long the connection may have been idle; 0 means no bound. A request that
+	AbortOnTimeout func() bool
+	// MaxIdleTime bounds how long the connection may have been idle; 0 means no bound. A request that
 	// must not run twice avoids connections that the upstream may be about to close.
-	MaxIdle time.Duration
+	MaxIdleTime time.Duration
 	// MaxConnections bounds this host's connections to the upstream; 0 means no bound.
 	MaxConnections int
 }
 
 // A Client sends requests to upstreams and pools connections. It is safe for concurrent use.
 type Client struct {
-	heads Heads
+	heads HeadParser
 	dial  func(ctx context.Context, network, address string) (net.Conn, error)
 	mu    sync.Mutex
 	// idle holds the idle connections and open counts all connections, by address.
@@ -84,7 +84,7 @@
 
 // NewClient returns a client that parses headers with heads and connects with dial, or over TCP if
 // it is nil.
-func NewClient(heads Heads, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
+func NewClient(heads HeadParser, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	if dial == nil {
 		dial = newDialer().DialContext
 	}
@@ -118,8 +118,8 @@
 	clear(c.idle)
 }
 
-// Dialed returns how many connections the client has dialed, including failed attempts.
-func (c *Client) Dialed() int64 {
+// DialCount returns how many connections the client has dialed, including failed attempts.
+func (c *Client) DialCount() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dialed
@@ -127,7 +127,7 @@
 
 // Do sends a request and reads the header of its response, which the caller must close. An error is
 // a *NotSentError, an *InterruptedError or a *MismatchError.
-func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, call Request) (*Response, error) {
 	for {
 		cn, err := c.acquire(ctx, call)
 		if err != nil {
@@ -144,7 +144,7 @@
 }
 
 // acquire returns a pooled connection that the request may use, or a new one.
-func (c *Client) acquire(ctx context.Context, call Call) (*conn, error) {
+func (c *Client) acquire(ctx context.Context, call Request) (*conn, error) {
 	for {
 		cn := c.popIdle(call)
 		if cn == nil {
@@ -171,11 +171,11 @@
 }
 
 // reserve counts one connection more, or returns an error if the call's limit is reached.
-func (c *Client) reserve(call Call) error {
+func (c *Client) reserve(call Request) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if call.MaxConnections > 0 && c.open[call.Address] >= call.MaxConnections {
-		return ErrBusy
+		return ErrTooManyConnections
 	}
 	c.open[call.Address]++
 	c.dialed++
@@ -184,7 +184,7 @@
 
 // popIdle takes the most recently used connection from the pool; nil if it has been idle for too
 // long.
-func (c *Client) popIdle(call Call) *conn {
+func (c *Client) popIdle(call Request) *conn {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,7 +194,7 @@
 	}
 	cn := idle[len(idle)-1]
 	idleTime := now.Sub(cn.idleSince)
-	if idleTime > cn.maxIdle || (call.MaxIdle > 0 && idleTime > call.MaxIdle) {
+	if idleTime > cn.maxIdle || (call.MaxIdleTime > 0 && idleTime > call.MaxIdleTime) {
 		return nil
 	}
 	c.idle[call.Address] = idle[:len(idle)-1]
@@ -256,11 +256,11 @@
 }
 
 // send writes the request and reads the header of its response.
-func (c *Client) send(ctx context.Context, cn *conn, call Call) (*Answer, error) {
+func (c *Client) send(ctx context.Context, cn *conn, call Request) (*Response, error) {
 	// When the caller cancels, the upstream must stop working at once; closing the connection is
 	// what tells it.
 	stopCancel := context.AfterFunc(ctx, func() { _ = cn.Close() })
-	r := &Answer{client: c, conn: cn, call: call, stopCancel: stopCancel}
+	r := &Response{client: c, conn: cn, call: call, stopCancel: stopCancel}
 	request := encodeRequest(call)
 	if err := r.writeRequest(request); err != nil {
 		r.Close()
@@ -274,7 +274,7 @@
 }
 
 // encodeRequest returns the header of the request, and the body if it is short.
-func encodeRequest(call Call) []byte {
+func encodeRequest(call Request) []byte {
 	var b bytes.Buffer
 	b.Grow(1 << 10)
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", call.Method, call.Target, call.Host)
--- a/jackdawd/internal/exchange/conn.go
+++ b/jackdawd/internal/exchange/conn.go
@@ -31,7 +31,7 @@
 	reader  *bufio.Reader
 	address string
 	// upstream is the start of the upstream to which the connection was opened.
-	upstream traffic.Start
+	upstream traffic.UpstreamInstance
 	// used is set once the connection has served a request.
 	used bool
 	// idleSince is when the connection was put back, maxIdle how long it may stay idle.
--- a/jackdawd/internal/exchange/errors.go
+++ b/jackdawd/internal/exchange/errors.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// ErrBusy means that the limit of connections to the upstream is reached; nothing was sent.
-var ErrBusy = errors.New("too many connections to the upstream")
+// ErrTooManyConnections means that the limit of connections to the upstream is reached; nothing was sent.
+var ErrTooManyConnections = errors.New("too many connections to the upstream")
 
 // ErrReadTimeout means that the upstream sent nothing within the time allowed.
 var ErrReadTimeout = errors.New("upstream sent no data within the read timeout")
@@ -36,9 +36,9 @@
 // Unwrap returns the cause.
 func (e *InterruptedError) Unwrap() error { return e.Cause }
 
-// Ended reports whether an error means that the upstream closed the connection, as it does when its
+// ClosedByPeer reports whether an error means that the upstream closed the connection, as it does when its
 // process ends. A timeout or a response to another request is not one.
-func Ended(err error) bool {
+func ClosedByPeer(err error) bool {
 	for _, closed := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, closed) {
 			return true
--- a/jackdawd/internal/exchange/response.go
+++ b/jackdawd/internal/exchange/response.go
@@ -10,14 +10,14 @@
 	"jackdawhinge/common/traffic"
 )
 
-// An Answer is an upstream's response whose header has been read.
-type Answer struct {
+// An Response is an upstream's response whose header has been read.
+type Response struct {
 	client *Client
 	conn   *conn
-	call   Call
+	call   Request
 	// stopCancel stops the closing of the connection on cancellation; false if that has begun.
 	stopCancel func() bool
-	head       traffic.Answer
+	head       traffic.Response
 	resp       *http.Response
 	// bodyWritten is closed when the request body has been written; nil if it was written with the
 	// header.
@@ -29,25 +29,25 @@
 }
 
 // Head returns the parsed header.
-func (r *Answer) Head() traffic.Answer { return r.head }
+func (r *Response) Head() traffic.Response { return r.head }
 
 // Status returns the status code.
-func (r *Answer) Status() int { return r.resp.StatusCode }
+func (r *Response) Status() int { return r.resp.StatusCode }
 
 // Header returns the header fields.
-func (r *Answer) Header() http.Header { return r.resp.Header }
+func (r *Response) Header() http.Header { return r.resp.Header }
 
-// Length returns the length of the body in bytes, or -1 if it is unknown.
-func (r *Answer) Length() int64 { return r.resp.ContentLength }
+// ContentLength returns the length of the body in bytes, or -1 if it is unknown.
+func (r *Response) ContentLength() int64 { return r.resp.ContentLength }
 
-// SetPatience sets the timeout of each read of the body; 0 means that only the context bounds it.
-func (r *Answer) SetPatience(d time.Duration) { r.readTimeout = d }
+// SetReadTimeout sets the timeout of each read of the body; 0 means that only the context bounds it.
+func (r *Response) SetReadTimeout(d time.Duration) { r.readTimeout = d }
 
 // Buffered reports whether more of the response has already arrived.
-func (r *Answer) Buffered() bool { return r.conn.reader.Buffered() > 0 }
+func (r *Response) Buffered() bool { return r.conn.reader.Buffered() > 0 }
 
 // writeRequest writes the request; a long body is written while the response is awaited.
-func (r *Answer) writeRequest(request []byte) error {
+func (r *Response) writeRequest(request []byte) error {
 	n, err := r.conn.Write(request)
 	if err != nil && n == 0 {
 		return &NotSentError{Cause: err}
@@ -66,8 +66,8 @@
 	return nil
 }
 
-func (r *Answer) readHead() error {
-	if err := r.awaitData(r.call.HeadWithin); err != nil {
+func (r *Response) readHead() error {
+	if err := r.awaitData(r.call.HeaderTimeout); err != nil {
 		return &InterruptedError{Cause: translateReadError(err)}
 	}
 	for range maxStaleResponses + 1 {
@@ -76,7 +76,7 @@
 			return &InterruptedError{Cause: translateReadError(err)}
 		}
 		r.resp, r.head = resp, r.client.heads.Answer(resp.StatusCode, resp.Header)
-		if r.head.ID == r.call.ID || (r.head.ID == "" && r.head.NotRun) {
+		if r.head.ID == r.call.ID || (r.head.ID == "" && r.head.NotExecuted) {
 			// The header timeout must not cut off a long body.
 			r.setReadDeadline(0)
 			return nil
@@ -93,7 +93,7 @@
 }
 
 // readResponse reads the header of the next response that is not an interim (1xx) one.
-func (r *Answer) readResponse() (*http.Response, error) {
+func (r *Response) readResponse() (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(r.conn.reader, &http.Request{Method: r.call.Method})
 		if err != nil {
@@ -107,7 +107,7 @@
 
 // Read reads from the body. It returns io.EOF at the end of the complete body, else an
 // *InterruptedError.
-func (r *Answer) Read(p []byte) (int, error) {
+func (r *Response) Read(p []byte) (int, error) {
 	if r.readTimeout > 0 && r.conn.reader.Buffered() == 0 {
 		if err := r.awaitData(r.readTimeout); err != nil {
 			return 0, &InterruptedError{Cause: translateReadError(err)}
@@ -126,7 +126,7 @@
 
 // awaitData waits up to d for data and then allows d again for the rest of it. Only the wait for the
 // first byte can be repeated after a timeout, as nothing has been consumed then.
-func (r *Answer) awaitData(d time.Duration) error {
+func (r *Response) awaitData(d time.Duration) error {
 	for d > 0 {
 		r.setReadDeadline(d)
 		_, err := r.conn.reader.Peek(1)
@@ -136,7 +136,7 @@
 			// end here.
 			r.setReadDeadline(d)
 			return nil
-		case r.call.GiveUp == nil || r.call.GiveUp():
+		case r.call.AbortOnTimeout == nil || r.call.AbortOnTimeout():
 			return err
 		}
 	}
@@ -145,7 +145,7 @@
 }
 
 // setReadDeadline bounds reads to d from now; 0 means that only the context bounds them.
-func (r *Answer) setReadDeadline(d time.Duration) {
+func (r *Response) setReadDeadline(d time.Duration) {
 	deadline := time.Time{}
 	if d > 0 {
 		deadline = time.Now().Add(d)
@@ -169,7 +169,7 @@
 
 // Close returns the connection to the pool if another request may follow on it. Else it closes it,
 // which tells the upstream to stop working on the request.
-func (r *Answer) Close() {
+func (r *Response) Close() {
 	if !r.stopCancel() || !r.connReusable() {
 		r.client.discard(r.conn)
 		return
@@ -179,7 +179,7 @@
 
 // connReusable reports whether the exchange is over: the response is complete and delimited, and the
 // request has been written.
-func (r *Answer) connReusable() bool {
+func (r *Response) connReusable() bool {
 	if !r.complete || r.resp.Close {
 		return false
 	}
@@ -200,7 +200,7 @@
 }
 
 // maxIdle returns how long the connection may stay idle in the pool.
-func (r *Answer) maxIdle() time.Duration {
+func (r *Response) maxIdle() time.Duration {
 	if r.head.IdleTimeout <= 0 {
 		return defaultMaxIdle
 	}
--- a/jackdawd/internal/fleet/clients.go
+++ b/jackdawd/internal/fleet/clients.go
@@ -40,7 +40,7 @@
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: connectTimeout}).DialContext
 	}
-	return peers.NewClientOf(secret, dial)
+	return peers.NewClientWithDialer(secret, dial)
 }
 
 // closeClient closes a client that was created for a single call.
--- a/jackdawd/internal/fleet/counts.go
+++ b/jackdawd/internal/fleet/counts.go
@@ -28,7 +28,7 @@
 func encodeCounts(requests map[uint32]int, hashes []uint32) Counts {
 	var out Counts
 	for _, hash := range hashes {
-		out = binary.LittleEndian.AppendUint32(out, hash&placement.CountedHash|uint32(min(requests[hash], math.MaxUint8))<<24)
+		out = binary.LittleEndian.AppendUint32(out, hash&placement.WireHashMask|uint32(min(requests[hash], math.MaxUint8))<<24)
 	}
 	return out
 }
@@ -37,7 +37,7 @@
 func (c Counts) each(yield func(hash uint32, requests int)) {
 	for len(c) >= countSize {
 		packed := binary.LittleEndian.Uint32(c)
-		yield(packed&placement.CountedHash, int(packed>>24))
+		yield(packed&placement.WireHashMask, int(packed>>24))
 		c = c[countSize:]
 	}
 }
--- a/jackdawd/internal/fleet/exchange.go
+++ b/jackdawd/internal/fleet/exchange.go
@@ -53,8 +53,8 @@
 type FailureScores interface {
 	// Scores returns this host's own scores.
 	Scores() map[uint32]float64
-	// TakeScores sets the sum of all other hosts' scores.
-	TakeScores(others map[uint32]float64)
+	// SetPeerScores sets the sum of all other hosts' scores.
+	SetPeerScores(others map[uint32]float64)
 }
 
 // Plans holds the plan that spreads prompts over engines, and the requests it is computed from.
@@ -63,12 +63,12 @@
 	InProgress() placement.InProgress
 	// Plan returns the current plan, or nil, and when it was computed.
 	Plan(now time.Time) (*placement.Plan, time.Time)
-	// Take adopts a plan that another host computed at the given time.
-	Take(p *placement.Plan, at time.Time)
-	// Draw computes a plan from the requests in progress at all hosts.
-	Draw(now time.Time, all placement.InProgress)
-	// Rising reports whether requests for some prompt far exceed what the plan provides for.
-	Rising(all placement.InProgress) bool
+	// ApplyPlan adopts a plan that another host computed at the given time.
+	ApplyPlan(p *placement.Plan, at time.Time)
+	// ComputePlan computes a plan from the requests in progress at all hosts.
+	ComputePlan(now time.Time, all placement.InProgress)
+	// HasRisingPrompt reports whether requests for some prompt far exceed what the plan provides for.
+	HasRisingPrompt(all placement.InProgress) bool
 }
 
 // subtree holds the state reported by this host's children, and the failure scores of the whole
@@ -242,7 +242,7 @@
 		case !hasParent:
 			s.computePlan(now)
 			s.awaitChildren(ctx, now)
-			if s.options.Plans.Rising(s.inProgress(time.Now())) {
+			if s.options.Plans.HasRisingPrompt(s.inProgress(time.Now())) {
 				s.computePlan(time.Now())
 			}
 			pause.For(ctx, planInterval-time.Since(now))
@@ -323,8 +323,8 @@
 func (s *Source) computePlan(now time.Time) {
 	own := s.state.Scores()
 	s.subtree.setRegionScores(now, s.subtree.sumScores(now, own, ""))
-	s.state.TakeScores(subtract(s.subtree.scores(now), own))
-	s.options.Plans.Draw(now, s.inProgress(now))
+	s.state.SetPeerScores(subtract(s.subtree.scores(now), own))
+	s.options.Plans.ComputePlan(now, s.inProgress(now))
 	s.logPlan(now)
 	s.planUpdated.raise()
 }
@@ -337,7 +337,7 @@
 	}
 	summary := plan.Summary()
 	logrus.WithFields(logrus.Fields{
-		"named": summary.Named, "limited": summary.Limited, "most": summary.Most, "prompts": summary.Prompts, "bytes": plan.Size(),
+		"named": summary.ListedEngines, "limited": summary.LimitedEngines, "most": summary.MaxLoad, "prompts": summary.Prompts, "bytes": plan.Size(),
 	}).Info("fleet: A plan was drawn.")
 }
 
@@ -368,9 +368,9 @@
 func (s *Source) applyExchange(now time.Time, reply *ExchangeReply) {
 	own := s.state.Scores()
 	s.subtree.setRegionScores(now, reply.Scores.decode())
-	s.state.TakeScores(subtract(s.subtree.scores(now), own))
+	s.state.SetPeerScores(subtract(s.subtree.scores(now), own))
 	if reply.Plan != nil {
-		s.options.Plans.Take(reply.Plan, now.Add(-reply.PlanAge))
+		s.options.Plans.ApplyPlan(reply.Plan, now.Add(-reply.PlanAge))
 	}
 }
 
--- a/jackdawd/internal/fleet/follow.go
+++ b/jackdawd/internal/fleet/follow.go
@@ -11,7 +11,7 @@
 )
 
 // Configurations returns the source as a source of configurations.
-func (s *Source) Configurations() membership.Configurations { return configurations{s} }
+func (s *Source) Configurations() membership.ConfigurationSource { return configurations{s} }
 
 type configurations struct{ *Source }
 
@@ -179,15 +179,15 @@
 		if err != nil {
 			return err
 		}
-		change = traffic.UpstreamChange{Whole: true, Entries: entries}
+		change = traffic.UpstreamChange{Complete: true, Entries: entries}
 	}
 	switch {
-	case change.Whole && c.listGuard.tryReplace(listTime, func() { c.setFollowing(&parent) }):
+	case change.Complete && c.listGuard.tryReplace(listTime, func() { c.setFollowing(&parent) }):
 		c.needsFullList = false
 	case c.needsFullList:
 		return nil
 	}
-	if change.Whole || len(change.Entries) > 0 {
+	if change.Complete || len(change.Entries) > 0 {
 		c.listGuard.recordChange(c.options.Uptime())
 	}
 	select {
--- a/jackdawd/internal/fleet/quarantine.go
+++ b/jackdawd/internal/fleet/quarantine.go
@@ -40,12 +40,12 @@
 	// Since returns the records with at least the given number of crashes that changed after a
 	// position, and the position after them.
 	Since(now time.Time, p quarantine.Position, minCrashes int) ([]quarantine.Record, quarantine.Position)
-	// News reports whether there are such records.
-	News(p quarantine.Position, minCrashes int) bool
-	// Answered records that a request was answered and so does not crash upstreams.
-	Answered(now time.Time, f quarantine.Fingerprint)
-	// AllBarred returns the quarantined requests.
-	AllBarred(now time.Time) []quarantine.Record
+	// HasChanges reports whether there are such records.
+	HasChanges(p quarantine.Position, minCrashes int) bool
+	// RecordResponse records that a request was answered and so does not crash upstreams.
+	RecordResponse(now time.Time, f quarantine.Fingerprint)
+	// AllQuarantined returns the quarantined requests.
+	AllQuarantined(now time.Time) []quarantine.Record
 	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
 }
@@ -84,7 +84,7 @@
 	defer timer.Stop()
 	for waiting := true; waiting; {
 		changed := registry.Changed()
-		if registry.News(args.Known, minSharedCrashes) {
+		if registry.HasChanges(args.Known, minSharedCrashes) {
 			break
 		}
 		select {
@@ -108,7 +108,7 @@
 		if parent.Name != reportedTo {
 			reportedTo, reportedUntil = parent.Name, quarantine.Position{}
 		}
-		if hasParent && s.options.Quarantine.News(reportedUntil, minReportedCrashes) {
+		if hasParent && s.options.Quarantine.HasChanges(reportedUntil, minReportedCrashes) {
 			reportedUntil = s.sendReport(ctx, parent, reportedUntil)
 			pause.For(ctx, minReportInterval)
 		}
--- a/jackdawd/internal/fleet/quarantine_notices.go
+++ b/jackdawd/internal/fleet/quarantine_notices.go
@@ -26,9 +26,9 @@
 	maxStoreBackoff = 3 * time.Second
 )
 
-// QuarantineBoard stores notices of quarantined requests, for other regions and for hosts that
+// QuarantineStore stores notices of quarantined requests, for other regions and for hosts that
 // start when all others do too.
-type QuarantineBoard interface {
+type QuarantineStore interface {
 	// Put stores the notice of a request, or removes it if notice is nil, and returns the log
 	// position after the write.
 	Put(ctx context.Context, request string, notice []byte) (traffic.LogPosition, error)
@@ -126,7 +126,7 @@
 			pause.For(ctx, roleCheckInterval)
 			continue
 		}
-		notices, whole, until, err := s.options.QuarantineBoard.Next(ctx, quarantinePollWait)
+		notices, whole, until, err := s.options.QuarantineStore.Next(ctx, quarantinePollWait)
 		if err != nil {
 			if ctx.Err() == nil {
 				logrus.WithError(err).Info("fleet: The notices of barred requests were not read. They are read again.")
@@ -185,7 +185,7 @@
 func (s *Source) writeMissingNotices(ctx context.Context) bool {
 	now := time.Now()
 	complete := true
-	for _, r := range s.options.Quarantine.AllBarred(now) {
+	for _, r := range s.options.Quarantine.AllQuarantined(now) {
 		request := r.Request.String()
 		if s.knownNotices.contains(request) {
 			continue
@@ -207,12 +207,12 @@
 		logrus.WithError(err).Warn("fleet: A notice of a barred request was skipped.")
 		return
 	}
-	s.options.Quarantine.Answered(now, f)
+	s.options.Quarantine.RecordResponse(now, f)
 }
 
 // putNotice writes the notice of a request and reports whether that succeeded.
 func (s *Source) putNotice(ctx context.Context, request string, notice []byte) bool {
-	position, err := s.options.QuarantineBoard.Put(ctx, request, notice)
+	position, err := s.options.QuarantineStore.Put(ctx, request, notice)
 	if err != nil {
 		logrus.WithError(err).WithField("fingerprint", request).Info("fleet: The notice of a barred request was not written. It is tried again.")
 		return false
@@ -225,7 +225,7 @@
 
 // removeNotice removes the notice of a request. Later reads of the store confirm the removal.
 func (s *Source) removeNotice(ctx context.Context, request string) {
-	if _, err := s.options.QuarantineBoard.Put(ctx, request, nil); err != nil {
+	if _, err := s.options.QuarantineStore.Put(ctx, request, nil); err != nil {
 		logrus.WithError(err).WithField("fingerprint", request).Info("fleet: The notice of a barred request was not removed.")
 	}
 }
--- a/jackdawd/internal/fleet/registration.go
+++ b/jackdawd/internal/fleet/registration.go
@@ -139,7 +139,7 @@
 // readDirectory reads the host list from the store.
 func (s *Source) readDirectory(ctx context.Context) {
 	s.rereadDirectory.Store(false)
-	registrations, whole, until, err := s.options.Board.Next(ctx)
+	registrations, whole, until, err := s.options.HostRegistry.Next(ctx)
 	if err != nil {
 		// The reads of the configuration fail as well, and log it.
 		return
@@ -156,7 +156,7 @@
 		// Strings always encode.
 		panic(err)
 	}
-	err = s.options.Board.Put(ctx, s.directory.Self().Name, data)
+	err = s.options.HostRegistry.Put(ctx, s.directory.Self().Name, data)
 	if err != nil {
 		logrus.WithError(err).Warn("fleet: This host's notice was not written. It is tried again.")
 	}
--- a/jackdawd/internal/fleet/service.go
+++ b/jackdawd/internal/fleet/service.go
@@ -107,7 +107,7 @@
 }
 
 func (s *service) fillEntries(reply *FollowReply, change traffic.UpstreamChange) error {
-	if !change.Whole {
+	if !change.Complete {
 		reply.Entries = change.Entries
 		return nil
 	}
--- a/jackdawd/internal/fleet/source.go
+++ b/jackdawd/internal/fleet/source.go
@@ -36,8 +36,8 @@
 	unknownTime = -unknownAge
 )
 
-// A Board stores the registrations of hosts.
-type Board interface {
+// A HostRegistry stores the registrations of hosts.
+type HostRegistry interface {
 	// Put stores the registration of a host, or removes it if registration is nil.
 	Put(ctx context.Context, host string, registration []byte) error
 	// Next returns the registrations changed since the last call, with nil for a removed one, and
@@ -67,13 +67,13 @@
 	FirstStart bool
 	// Address is where other hosts reach this one; empty if they cannot.
 	Address        string
-	Board          Board
+	HostRegistry   HostRegistry
 	Configurations StoreConfigurations
 	Upstreams      StoreUpstreams
 	Plans          Plans
 	// Quarantine holds the requests that crash upstreams; their notices are kept in the store.
 	Quarantine      Quarantine
-	QuarantineBoard QuarantineBoard
+	QuarantineStore QuarantineStore
 	// Uptime is a monotonic clock that also advances while the host is suspended.
 	Uptime func() time.Duration
 	// InForce returns the operators' bound on how long an old configuration may be acted on.
@@ -82,7 +82,7 @@
 	Decode func(document []byte) (*traffic.Configuration, error)
 	// Listen and Dial create connections between hosts, over TCP if nil.
 	Listen func(address string) (net.Listener, error)
-	Dial   peers.Dial
+	Dial   peers.DialFunc
 }
 
 // A Source provides configuration and upstreams, from the store or from a host that reads or
@@ -231,7 +231,7 @@
 		s.register(ctx)
 		pause.For(ctx, firstStartWait+mathrand.N(firstStartWait/2))
 	}
-	registrations, whole, until, err := s.options.Board.Next(ctx)
+	registrations, whole, until, err := s.options.HostRegistry.Next(ctx)
 	if err != nil {
 		// The reads of the configuration fail as well, and log it.
 		s.rereadDirectory.Store(true)
@@ -277,7 +277,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for other hosts: %w", err)
 	}
-	return peers.NewServerOn(listener, secrets, services)
+	return peers.NewServerWithListener(listener, secrets, services)
 }
 
 // Close removes this host's registration and stops.
@@ -292,7 +292,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
-	if err := s.options.Board.Put(ctx, s.options.Name, nil); err != nil {
+	if err := s.options.HostRegistry.Put(ctx, s.options.Name, nil); err != nil {
 		// Other hosts detect that this one is gone.
 		logrus.WithError(err).Info("fleet: This host's notice was not removed.")
 	}
@@ -355,7 +355,7 @@
 	if !s.directory.Suspect(time.Now(), peer.Name, errors.As(cause, &staleErr)) {
 		return
 	}
-	if err := s.options.Board.Put(ctx, peer.Name, nil); err != nil {
+	if err := s.options.HostRegistry.Put(ctx, peer.Name, nil); err != nil {
 		logrus.WithError(err).WithField("peer", peer.Name).Warn("fleet: The notice of a host that is gone was not removed.")
 	}
 }
--- a/jackdawd/internal/fleet/tree.go
+++ b/jackdawd/internal/fleet/tree.go
@@ -205,7 +205,7 @@
 	slices.SortFunc(peers, func(a, b Peer) int {
 		return cmp.Or(
 			cmp.Compare(weak(a), weak(b)),
-			cmp.Compare(routing.Score(rankingKey, routing.HashOf(b.Name)), routing.Score(rankingKey, routing.HashOf(a.Name))),
+			cmp.Compare(routing.RendezvousScore(rankingKey, routing.NameHash(b.Name)), routing.RendezvousScore(rankingKey, routing.NameHash(a.Name))),
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
@@ -220,8 +220,8 @@
 }
 
 func (d *Directory) compareByAffinity(a, b Peer) int {
-	key := routing.HashOf(d.self.Name)
-	return cmp.Compare(routing.Score(key, routing.HashOf(a.Name)), routing.Score(key, routing.HashOf(b.Name)))
+	key := routing.NameHash(d.self.Name)
+	return cmp.Compare(routing.RendezvousScore(key, routing.NameHash(a.Name)), routing.RendezvousScore(key, routing.NameHash(b.Name)))
 }
 
 func (d *Directory) contains(peers []Peer, peer Peer) bool {
--- a/jackdawd/internal/fleet/upstreams.go
+++ b/jackdawd/internal/fleet/upstreams.go
@@ -12,7 +12,7 @@
 )
 
 // Upstreams returns the source as a source of upstreams.
-func (s *Source) Upstreams() membership.Upstreams { return upstreams{s} }
+func (s *Source) Upstreams() membership.UpstreamSource { return upstreams{s} }
 
 type upstreams struct{ *Source }
 
@@ -122,7 +122,7 @@
 // list is valid at once, a change only after it has been applied.
 func (u upstreams) receive(update upstreamUpdate) (change traffic.UpstreamChange, changed bool) {
 	u.pendingListTime = update.asOf
-	if !update.change.Whole && len(update.change.Entries) == 0 {
+	if !update.change.Complete && len(update.change.Entries) == 0 {
 		u.confirmApplied()
 		return update.change, false
 	}
