--- a/jackdawd/internal/relay/record.go
+++ b/jackdawd/internal/relay/record.go
@@ -36,14 +36,14 @@
 	Refused Outcome = "refused"
 	// BrokenOff: the caller has a truncated response and can tell so.
 	BrokenOff Outcome = "broken-off"
-	// Left: the caller disconnected before the response was complete.
-	Left Outcome = "left"
+	// CallerLeft: the caller disconnected before the response was complete.
+	CallerLeft Outcome = "left"
 )
 
 // A Step is one decision on a request, with its inputs.
 type Step struct {
-	// After is the time since the request arrived.
-	After    time.Duration
+	// Elapsed is the time since the request arrived.
+	Elapsed  time.Duration
 	Decision Decision
 	Upstream string
 	// Candidates counts the eligible upstreams, Avoided those that are avoided for recent failures.
@@ -56,10 +56,10 @@
 	Limit float64
 	// PlanAge is the age of the balancing plan that the request was placed by.
 	PlanAge time.Duration
-	// Planned is set if there was such a plan.
-	Planned bool
-	// Cached is set if the request has a prompt that engines cache.
-	Cached bool
+	// HasPlan is set if there was such a plan.
+	HasPlan bool
+	// Cacheable is set if the request has a prompt that engines cache.
+	Cacheable bool
 	// FetchFrom is the upstream from which the selected one was told to fetch the prompt; empty if
 	// it should hold the prompt itself.
 	FetchFrom string
@@ -68,45 +68,45 @@
 	Err     error
 	// Delay is how long the request was expected to queue at the upstream.
 	Delay time.Duration
-	// Patience is the maximum that it may queue there.
-	Patience time.Duration
+	// MaxWait is the maximum that it may queue there.
+	MaxWait time.Duration
 	// Reason is why no other upstream was tried.
 	Reason string
 	// ResumeAfter is the ID of the last event that the caller got before its stream was resumed.
 	ResumeAfter string
 }
 
-// A Story is the record of a request that has ended.
-type Story struct {
-	Request string
+// A RequestRecord is the record of a request that has ended.
+type RequestRecord struct {
+	RequestID string
 	// Fingerprint is set if an upstream crashed while it ran the request or a copy of it.
 	Fingerprint quarantine.Fingerprint
 	Route       string
 	Kind        string
 	Workspace   string
 	Pool        string
-	// Configured is set if the host had a configuration.
-	Configured bool
-	// Version is the version of the configuration that the request was checked against.
-	Version int64
-	// Age is how old that configuration may have been when the request arrived.
-	Age     time.Duration
-	Arrived time.Time
-	Steps   []Step
-	Outcome Outcome
-	Status  int
-	Refusal *work.Refusal
-	// FirstEvent is the time from arrival to the response header; 0 if none was sent.
-	FirstEvent time.Duration
-	// LongestPause is the maximum time between two writes of a stream; 0 if there were fewer than
+	// HasConfiguration is set if the host had a configuration.
+	HasConfiguration bool
+	// ConfigurationVersion is the version of the configuration that the request was checked against.
+	ConfigurationVersion int64
+	// ConfigurationAge is how old that configuration may have been when the request arrived.
+	ConfigurationAge time.Duration
+	Arrived          time.Time
+	Steps            []Step
+	Outcome          Outcome
+	Status           int
+	Refusal          *work.Refusal
+	// TimeToFirstByte is the time from arrival to the response header; 0 if none was sent.
+	TimeToFirstByte time.Duration
+	// MaxEventGap is the maximum time between two writes of a stream; 0 if there were fewer than
 	// two.
-	LongestPause time.Duration
-	// Took is the time from arrival to the end of the request.
-	Took time.Duration
+	MaxEventGap time.Duration
+	// Duration is the time from arrival to the end of the request.
+	Duration time.Duration
 }
 
-// Tries returns the number of times that an upstream was selected for the request.
-func (s *Story) Tries() int {
+// Attempts returns the number of times that an upstream was selected for the request.
+func (s *RequestRecord) Attempts() int {
 	n := 0
 	for _, step := range s.Steps {
 		if step.Decision == Placed {
@@ -116,22 +116,22 @@
 	return n
 }
 
-// A Journal receives the records of requests that have ended.
-type Journal interface {
-	Ended(s *Story)
+// A Recorder receives the records of requests that have ended.
+type Recorder interface {
+	Record(s *RequestRecord)
 }
 
 // addStep appends a step to the record.
 func (j *job) addStep(s Step) {
-	s.After = time.Since(j.arrived)
+	s.Elapsed = time.Since(j.arrived)
 	j.steps = append(j.steps, s)
 }
 
 // record delivers the record of the finished request.
 func (j *job) record(o Outcome, status int, refusal *work.Refusal) {
-	s := &Story{
-		Request: j.request.ID, Workspace: j.workspace.Name, Pool: j.pool.Name, Arrived: j.arrived, Steps: j.steps,
-		Outcome: o, Status: status, Refusal: refusal, FirstEvent: j.timeToFirstByte, LongestPause: j.maxEventGap, Took: time.Since(j.arrived),
+	s := &RequestRecord{
+		RequestID: j.request.ID, Workspace: j.workspace.Name, Pool: j.pool.Name, Arrived: j.arrived, Steps: j.steps,
+		Outcome: o, Status: status, Refusal: refusal, TimeToFirstByte: j.timeToFirstByte, MaxEventGap: j.maxEventGap, Duration: time.Since(j.arrived),
 	}
 	if j.suspected {
 		s.Fingerprint = j.fingerprint
@@ -140,7 +140,7 @@
 		s.Route, s.Kind = j.route.Name, string(j.route.Kind)
 	}
 	if j.snapshot != nil && j.snapshot.Configuration() != nil {
-		s.Configured, s.Version, s.Age = true, j.snapshot.Configuration().Version(), j.configurationAge
+		s.HasConfiguration, s.ConfigurationVersion, s.ConfigurationAge = true, j.snapshot.Configuration().Version(), j.configurationAge
 	}
-	j.Journal.Ended(s)
+	j.Recorder.Record(s)
 }
--- a/jackdawd/internal/relay/stream.go
+++ b/jackdawd/internal/relay/stream.go
@@ -23,9 +23,9 @@
 var errTruncatedEvent = errors.New("the stream ended in the middle of an event")
 
 // relayStream forwards a stream event by event, starting after the last event that was delivered.
-func (j *job) relayStream(ctx context.Context, a *exchange.Answer) result {
-	j.splitter.Drop()
-	a.SetPatience(j.firstByteTimeout(j.sentCount))
+func (j *job) relayStream(ctx context.Context, a *exchange.Response) result {
+	j.splitter.DiscardPending()
+	a.SetReadTimeout(j.firstByteTimeout(j.sentCount))
 	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := a.Read(buf)
@@ -36,7 +36,7 @@
 			j.setEventTimeout(a)
 		}
 		switch {
-		case errors.Is(err, io.EOF) && (j.splitter.Pending() > 0 || j.splitter.Events() == 0):
+		case errors.Is(err, io.EOF) && (j.splitter.PendingBytes() > 0 || j.splitter.EventCount() == 0):
 			return result{verdict: broken, err: errTruncatedEvent}
 		case errors.Is(err, io.EOF):
 			return result{verdict: answered}
@@ -44,7 +44,7 @@
 			return result{verdict: callerLeft, err: err}
 		case err != nil:
 			return result{verdict: broken, err: err}
-		case j.splitter.Overlong():
+		case j.splitter.IsPendingTooLarge():
 			return result{verdict: broken, err: errTruncatedEvent}
 		}
 	}
@@ -52,21 +52,21 @@
 
 // setEventTimeout sets the timeout of the next event, or none if no other upstream could resume the
 // stream.
-func (j *job) setEventTimeout(a *exchange.Answer) {
+func (j *job) setEventTimeout(a *exchange.Response) {
 	if !j.mayFailOver(j.sentCount) {
-		a.SetPatience(0)
+		a.SetReadTimeout(0)
 		return
 	}
-	a.SetPatience(j.eventTimeout())
+	a.SetReadTimeout(j.eventTimeout())
 }
 
 // eventTimeout returns how long the next event of a stream may take.
 func (j *job) eventTimeout() time.Duration {
-	return max(eventTimeoutFactor*j.route.PauseTarget, minEventTimeout)
+	return max(eventTimeoutFactor*j.route.EventIntervalTarget, minEventTimeout)
 }
 
 // writeEvents writes complete events to the caller and flushes them.
-func (j *job) writeEvents(a *exchange.Answer, events []byte) error {
+func (j *job) writeEvents(a *exchange.Response, events []byte) error {
 	if !j.headerSent {
 		// A resumed stream keeps the header of its first upstream.
 		j.writeHeader(a.Status(), a.Header())
--- a/jackdawd/internal/relay/watchdog.go
+++ b/jackdawd/internal/relay/watchdog.go
@@ -26,9 +26,9 @@
 	w := &watchdog{}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(max(firstByteTimeoutFactor*j.route.Target, minFirstByteTimeout), func() {
+	w.timer = time.AfterFunc(max(firstByteTimeoutFactor*j.route.FirstByteTarget, minFirstByteTimeout), func() {
 		if !j.isFull(u) && w.stop() && ctx.Err() == nil {
-			j.Members.Observe(u.Start(), control.Silent)
+			j.Membership.Observe(u.Instance(), control.TimedOut)
 		}
 	})
 	return w
--- a/jackdawd/internal/routing/balancer.go
+++ b/jackdawd/internal/routing/balancer.go
@@ -43,9 +43,9 @@
 	Gone bool
 }
 
-// A Board places requests by the load of upstreams. It counts the load of those that
+// A Balancer places requests by the load of upstreams. It counts the load of those that
 // this host owns, and has the load of the rest from other owners' rows.
-type Board struct {
+type Balancer struct {
 	mu     sync.Mutex
 	loads  map[uint64]*upstreamLoad
 	means  map[string]cachedMean
@@ -76,18 +76,18 @@
 	lastUsed time.Time
 }
 
-// NewBoard returns a balancer without known loads that draws random numbers from source.
-func NewBoard(source rand.Source) *Board {
+// NewBalancer returns a balancer without known loads that draws random numbers from source.
+func NewBalancer(source rand.Source) *Balancer {
 	moves, err := simplelru.NewLRU[uint64, rememberedMove](maxRememberedMoves, nil)
 	if err != nil {
 		panic(err)
 	}
-	return &Board{loads: map[uint64]*upstreamLoad{}, means: map[string]cachedMean{}, moves: moves, random: rand.New(source)}
+	return &Balancer{loads: map[uint64]*upstreamLoad{}, means: map[string]cachedMean{}, moves: moves, random: rand.New(source)}
 }
 
-// Own sets which upstreams this host owns, and drops those that are in no pool and have no
+// SetOwned sets which upstreams this host owns, and drops those that are in no pool and have no
 // requests here.
-func (b *Board) Own(isOwned func(*Upstream) bool, pools map[string]*Pool) {
+func (b *Balancer) SetOwned(isOwned func(*Upstream) bool, pools map[string]*Pool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := make(map[uint64]*upstreamLoad, len(b.loads))
@@ -107,23 +107,23 @@
 }
 
 // Start adds a request's cost, in tokens, to an upstream's load.
-func (b *Board) Start(u *Upstream, cost int64) {
+func (b *Balancer) Start(u *Upstream, cost int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loadOf(u.hash).ownTokens += cost
 }
 
 // Finish subtracts a request's cost, in tokens, from an upstream's load.
-func (b *Board) Finish(u *Upstream, cost int64) {
+func (b *Balancer) Finish(u *Upstream, cost int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loadOf(u.hash).ownTokens -= cost
 }
 
-// Report records an upstream's own, delayed report of its resident tokens. The excess
+// ReportResident records an upstream's own, delayed report of its resident tokens. The excess
 // over this host's requests was sent by hosts with another list; if it were not counted,
 // two owners would each fill the upstream to its bound.
-func (b *Board) Report(u *Upstream, residentTokens int64) {
+func (b *Balancer) ReportResident(u *Upstream, residentTokens int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.loadOf(u.hash)
@@ -132,14 +132,14 @@
 }
 
 // Row returns the row of an upstream that this host owns, with its load in tokens.
-func (b *Board) Row(u *Upstream) Row {
+func (b *Balancer) Row(u *Upstream) Row {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return Row{Upstream: u.hash, Load: b.loadOf(u.hash).totalTokens()}
 }
 
 // Merge records rows of other owners; the newer of two rows on an upstream wins.
-func (b *Board) Merge(now time.Time, rows []Row) {
+func (b *Balancer) Merge(now time.Time, rows []Row) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range rows {
@@ -155,7 +155,7 @@
 
 // Rows returns up to limit rows on a pool to send to another owner: this host's own, then
 // the newest others.
-func (b *Board) Rows(now time.Time, p *Pool, limit int) []Row {
+func (b *Balancer) Rows(now time.Time, p *Pool, limit int) []Row {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rows := make([]Row, 0, len(p.upstreams))
@@ -173,14 +173,14 @@
 }
 
 // Load returns an upstream's load in tokens, and false if it is unknown.
-func (b *Board) Load(now time.Time, u *Upstream) (int64, bool) {
+func (b *Balancer) Load(now time.Time, u *Upstream) (int64, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.knownLoad(now, u)
 }
 
 // Mean returns the mean load, in tokens, of the pool's upstreams whose load is known.
-func (b *Board) Mean(now time.Time, p *Pool) float64 {
+func (b *Balancer) Mean(now time.Time, p *Pool) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.meanLoad(now, p)
@@ -207,31 +207,31 @@
 // A Candidate is a chat's request for an upstream that this host owns; its cost is in tokens.
 type Candidate struct {
 	Chat      uint64
-	At        *Upstream
+	Upstream  *Upstream
 	Cost      int64
 	Returning bool
 	Urgency   targets.Urgency
 	// Attempt counts how often the request has been moved.
 	Attempt int
-	// Seen holds the loads of the upstreams that it was moved away from.
-	Seen []Row
+	// VisitedRows holds the loads of the upstreams that it was moved away from.
+	VisitedRows []Row
 }
 
 func (c Candidate) visited(u *Upstream) bool {
-	return slices.ContainsFunc(c.Seen, func(r Row) bool { return r.Upstream == u.hash })
+	return slices.ContainsFunc(c.VisitedRows, func(r Row) bool { return r.Upstream == u.hash })
 }
 
 // Place decides whether a request is accepted, is moved to the returned upstream, or
 // waits for the load of its upstream to fall.
-func (b *Board) Place(now time.Time, p *Pool, c Candidate) (Placement, *Upstream) {
+func (b *Balancer) Place(now time.Time, p *Pool, c Candidate) (Placement, *Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c.Attempt < LastAttempt {
-		if to := b.rememberedUpstream(now, p, c); to != nil && to != c.At {
+		if to := b.rememberedUpstream(now, p, c); to != nil && to != c.Upstream {
 			return Moved, to
 		}
 	}
-	current := b.loadOf(c.At.hash).totalTokens()
+	current := b.loadOf(c.Upstream.hash).totalTokens()
 	if !c.Returning && c.Attempt < LastAttempt {
 		// A new chat has no cached prefix, so it can balance the load before the bound is reached.
 		if to := b.lessLoaded(now, p, c, current); to != nil {
@@ -240,28 +240,28 @@
 		}
 	}
 	switch {
-	case current+c.Cost <= b.loadBound(now, p, c.At, c.Cost, c.Urgency):
-		return Accept, c.At
+	case current+c.Cost <= b.loadBound(now, p, c.Upstream, c.Cost, c.Urgency):
+		return Accept, c.Upstream
 	case c.Attempt >= LastAttempt:
-		return Wait, c.At
+		return Wait, c.Upstream
 	case c.Returning:
-		return Linger, c.At
+		return Linger, c.Upstream
 	}
 	return b.moveElsewhere(now, p, c)
 }
 
 // Move decides on a request whose limited wait has ended: it is moved, or waits if no other
 // upstream is better.
-func (b *Board) Move(now time.Time, p *Pool, c Candidate) (Placement, *Upstream) {
+func (b *Balancer) Move(now time.Time, p *Pool, c Candidate) (Placement, *Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.moveElsewhere(now, p, c)
 }
 
-func (b *Board) moveElsewhere(now time.Time, p *Pool, c Candidate) (Placement, *Upstream) {
+func (b *Balancer) moveElsewhere(now time.Time, p *Pool, c Candidate) (Placement, *Upstream) {
 	to := b.alternative(now, p, c)
 	if to == nil {
-		return Wait, c.At
+		return Wait, c.Upstream
 	}
 	b.rememberMove(now, c, to)
 	return Moved, to
@@ -270,7 +270,7 @@
 // rememberMove records where a chat is moved to, and counts its cost there until the
 // next row arrives; otherwise all concurrent requests would pick the same lightly loaded
 // upstream and overload it.
-func (b *Board) rememberMove(now time.Time, c Candidate, to *Upstream) {
+func (b *Balancer) rememberMove(now time.Time, c Candidate, to *Upstream) {
 	b.moves.Add(c.Chat, rememberedMove{upstream: to.hash, lastUsed: now})
 	if l := b.loadOf(to.hash); !l.owned {
 		l.rowTokens += c.Cost
@@ -279,15 +279,15 @@
 
 // lessLoaded returns the least loaded of a new chat's candidates, or nil if the current
 // upstream would stay below the mean or no candidate is less loaded.
-func (b *Board) lessLoaded(now time.Time, p *Pool, c Candidate, current int64) *Upstream {
+func (b *Balancer) lessLoaded(now time.Time, p *Pool, c Candidate, current int64) *Upstream {
 	mean := b.meanLoad(now, p)
-	if float64(current+c.Cost) <= mean || current+c.Cost <= c.At.capacity/minBoundDivisor {
+	if float64(current+c.Cost) <= mean || current+c.Cost <= c.Upstream.capacity/minBoundDivisor {
 		return nil
 	}
 	var best *Upstream
 	bestLoad := min(current-c.Cost, int64(mean))
 	for _, u := range p.Rank(c.Chat) {
-		if l, ok := b.knownLoad(now, u); ok && u != c.At && l < bestLoad && !c.visited(u) {
+		if l, ok := b.knownLoad(now, u); ok && u != c.Upstream && l < bestLoad && !c.visited(u) {
 			best, bestLoad = u, l
 		}
 	}
@@ -296,14 +296,14 @@
 
 // Fits reports whether a request of that cost, in tokens, stays within the load bound of an
 // upstream this host owns.
-func (b *Board) Fits(now time.Time, p *Pool, u *Upstream, cost int64, urgency targets.Urgency) bool {
+func (b *Balancer) Fits(now time.Time, p *Pool, u *Upstream, cost int64, urgency targets.Urgency) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.loadOf(u.hash).totalTokens()+cost <= b.loadBound(now, p, u, cost, urgency)
 }
 
-// Moves returns the number of moved chats that are remembered.
-func (b *Board) Moves() int {
+// MovedChats returns the number of moved chats that are remembered.
+func (b *Balancer) MovedChats() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.moves.Len()
@@ -311,7 +311,7 @@
 
 // rememberedUpstream returns the upstream the chat was last moved to, if its prefix is
 // likely still cached there.
-func (b *Board) rememberedUpstream(now time.Time, p *Pool, c Candidate) *Upstream {
+func (b *Balancer) rememberedUpstream(now time.Time, p *Pool, c Candidate) *Upstream {
 	chat := c.Chat
 	m, ok := b.moves.Get(chat)
 	if !ok {
@@ -319,7 +319,7 @@
 	}
 	// A host with a newer list returns a request that was moved to an upstream which has
 	// left; moving it there again would use up its tries.
-	if now.Sub(m.lastUsed) > moveTTL || slices.ContainsFunc(c.Seen, func(r Row) bool { return r.Gone && r.Upstream == m.upstream }) {
+	if now.Sub(m.lastUsed) > moveTTL || slices.ContainsFunc(c.VisitedRows, func(r Row) bool { return r.Gone && r.Upstream == m.upstream }) {
 		b.moves.Remove(chat)
 		return nil
 	}
@@ -336,7 +336,7 @@
 // loadBound returns the maximum load of an upstream in tokens, including the new request:
 // the mean times the load multiple. It is lower for less urgent requests, to leave room
 // for urgent ones.
-func (b *Board) loadBound(now time.Time, p *Pool, u *Upstream, cost int64, urgency targets.Urgency) int64 {
+func (b *Balancer) loadBound(now time.Time, p *Pool, u *Upstream, cost int64, urgency targets.Urgency) int64 {
 	if len(p.upstreams) < 2 {
 		return unlimitedLoad
 	}
@@ -345,7 +345,7 @@
 	return max(int64((p.loadMultiple-urgencyHeadroomRatio*float64(urgency.Rank()))*mean), u.capacity/minBoundDivisor, cost)
 }
 
-func (b *Board) meanLoad(now time.Time, p *Pool) float64 {
+func (b *Balancer) meanLoad(now time.Time, p *Pool) float64 {
 	m := b.means[p.model]
 	if m.pool == p && now.Sub(m.computedAt) < meanTTL {
 		return m.load
@@ -364,25 +364,25 @@
 
 // alternative returns the chat's best other candidate that has room, or else the less
 // loaded of two random upstreams, or nil if neither is less loaded than the current one.
-func (b *Board) alternative(now time.Time, p *Pool, c Candidate) *Upstream {
-	limit := b.loadBound(now, p, c.At, c.Cost, c.Urgency)
+func (b *Balancer) alternative(now time.Time, p *Pool, c Candidate) *Upstream {
+	limit := b.loadBound(now, p, c.Upstream, c.Cost, c.Urgency)
 	for _, u := range p.Rank(c.Chat) {
-		if load, ok := b.knownLoad(now, u); u != c.At && ok && load+c.Cost <= limit && !c.visited(u) {
+		if load, ok := b.knownLoad(now, u); u != c.Upstream && ok && load+c.Cost <= limit && !c.visited(u) {
 			return u
 		}
 	}
 	var best *Upstream
-	bestLoad := b.loadOf(c.At.hash).totalTokens()
+	bestLoad := b.loadOf(c.Upstream.hash).totalTokens()
 	for range 2 {
 		u := p.upstreams[b.random.IntN(len(p.upstreams))]
-		if load, ok := b.knownLoad(now, u); u != c.At && ok && load < bestLoad {
+		if load, ok := b.knownLoad(now, u); u != c.Upstream && ok && load < bestLoad {
 			best, bestLoad = u, load
 		}
 	}
 	return best
 }
 
-func (b *Board) knownLoad(now time.Time, u *Upstream) (int64, bool) {
+func (b *Balancer) knownLoad(now time.Time, u *Upstream) (int64, bool) {
 	l := b.loadOf(u.hash)
 	switch {
 	case l.owned:
@@ -394,7 +394,7 @@
 	}
 }
 
-func (b *Board) loadOf(hash uint64) *upstreamLoad {
+func (b *Balancer) loadOf(hash uint64) *upstreamLoad {
 	l, ok := b.loads[hash]
 	if !ok {
 		l = &upstreamLoad{}
--- a/jackdawd/internal/routing/view.go
+++ b/jackdawd/internal/routing/view.go
@@ -28,13 +28,13 @@
 		name:          h.Name,
 		address:       h.Address,
 		failureDomain: h.FailureDomain,
-		hash:          HashOf(h.Name),
-		capacity:      h.Capacity,
+		hash:          NameHash(h.Name),
+		capacity:      h.CapacityTokens,
 	}
 }
 
-// HashOf returns the hash of an upstream's or host's name, which need not be listed.
-func HashOf(name string) uint64 { return xxhash.Sum64String(name) }
+// NameHash returns the hash of an upstream's or host's name, which need not be listed.
+func NameHash(name string) uint64 { return xxhash.Sum64String(name) }
 
 // Name returns the upstream's name in the host list.
 func (u *Upstream) Name() string { return u.name }
@@ -54,7 +54,7 @@
 // A Pool is the set of upstreams that serve one model or service, ordered by name.
 type Pool struct {
 	model        string
-	kind         targets.Kind
+	kind         targets.ModelKind
 	loadMultiple float64
 	upstreams    []*Upstream
 }
@@ -63,14 +63,14 @@
 func NewPool(model string, m targets.Model, upstreams []*Upstream) *Pool {
 	sorted := slices.Clone(upstreams)
 	slices.SortFunc(sorted, func(a, b *Upstream) int { return cmp.Compare(a.name, b.name) })
-	return &Pool{model: model, kind: m.Kind, loadMultiple: m.Multiple(), upstreams: sorted}
+	return &Pool{model: model, kind: m.Kind, loadMultiple: m.EffectiveLoadMultiple(), upstreams: sorted}
 }
 
 // Model returns the name of the model or service that the pool serves.
 func (p *Pool) Model() string { return p.model }
 
 // Kind returns whether the pool's upstreams are engines or services.
-func (p *Pool) Kind() targets.Kind { return p.kind }
+func (p *Pool) Kind() targets.ModelKind { return p.kind }
 
 // Upstreams returns the pool's upstreams ordered by name; the slice must not be changed.
 func (p *Pool) Upstreams() []*Upstream { return p.upstreams }
@@ -95,7 +95,7 @@
 	var scores [maxCandidates]uint64
 	n := 0
 	for _, u := range p.upstreams {
-		score := Score(chat, u.hash)
+		score := RendezvousScore(chat, u.hash)
 		i := n
 		for i > 0 && score > scores[i-1] {
 			i--
@@ -111,8 +111,8 @@
 	return append([]*Upstream(nil), best[:n]...)
 }
 
-// Score returns the rendezvous score of two hashes; the highest score wins.
-func Score(a, b uint64) uint64 {
+// RendezvousScore returns the rendezvous score of two hashes; the highest score wins.
+func RendezvousScore(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], a)
 	binary.LittleEndian.PutUint64(buf[8:], b)
@@ -134,7 +134,7 @@
 
 // NewEntryHost returns the entry host of a host list entry.
 func NewEntryHost(h roster.Host) EntryHost {
-	return EntryHost{name: h.Name, address: h.Address, controlAddress: h.Control, hash: xxhash.Sum64String(h.Name)}
+	return EntryHost{name: h.Name, address: h.Address, controlAddress: h.ControlAddress, hash: xxhash.Sum64String(h.Name)}
 }
 
 // Name returns the host's name in the host list.
@@ -143,8 +143,8 @@
 // Address returns the host's address for requests from other entry hosts.
 func (h EntryHost) Address() string { return h.address }
 
-// Control returns the host's address for control messages from other entry hosts.
-func (h EntryHost) Control() string { return h.controlAddress }
+// ControlAddress returns the host's address for control messages from other entry hosts.
+func (h EntryHost) ControlAddress() string { return h.controlAddress }
 
 // A View is an immutable snapshot of the configuration and the hosts known to this host.
 type View struct {
@@ -266,7 +266,7 @@
 		if slices.Contains(exclude, h.name) {
 			continue
 		}
-		if score := Score(key, h.hash); !found || score > bestScore {
+		if score := RendezvousScore(key, h.hash); !found || score > bestScore {
 			best, bestScore, found = h, score, true
 		}
 	}
@@ -276,6 +276,6 @@
 // unlimitedLoad is the load bound of an upstream without others to compare with.
 const unlimitedLoad = math.MaxInt64
 
-// Multiple returns the pool's load multiple: the maximum load of an upstream as a multiple
+// LoadMultiple returns the pool's load multiple: the maximum load of an upstream as a multiple
 // of the mean.
-func (p *Pool) Multiple() float64 { return p.loadMultiple }
+func (p *Pool) LoadMultiple() float64 { return p.loadMultiple }
--- a/jackdawd/internal/settings/settings.go
+++ b/jackdawd/internal/settings/settings.go
@@ -19,8 +19,8 @@
 
 // The log formats.
 const (
-	TextLogs LogFormat = "text"
-	JSONLogs LogFormat = "json"
+	LogFormatText LogFormat = "text"
+	LogFormatJSON LogFormat = "json"
 )
 
 const (
@@ -46,13 +46,13 @@
 	LogService  string `json:"log-service"`
 	HostList    string `json:"host-list"`
 	FleetSecret string `json:"fleet-secret"`
-	// AlsoAcceptSecret is a second secret that is accepted from other processes while the fleet
+	// SecondarySecret is a second secret that is accepted from other processes while the fleet
 	// secret is replaced.
-	AlsoAcceptSecret string `json:"also-accept-secret"`
-	// StopWithin is the maximum duration of a stop.
-	StopWithin targets.Duration `json:"stop-within"`
-	// UnreadyFor is how long a stopping host accepts requests after it reports not ready.
-	UnreadyFor targets.Duration `json:"unready-for"`
+	SecondarySecret string `json:"also-accept-secret"`
+	// StopTimeout is the maximum duration of a stop.
+	StopTimeout targets.Duration `json:"stop-within"`
+	// DrainDelay is how long a stopping host accepts requests after it reports not ready.
+	DrainDelay targets.Duration `json:"unready-for"`
 	// MaxBodyBytes is the size of the largest request body that is accepted.
 	MaxBodyBytes int64 `json:"max-body-bytes"`
 	Logs         struct {
@@ -83,8 +83,8 @@
 // Parse returns the validated settings in JSON data, with defaults for missing fields. The error is a
 // *targets.FieldError if a field's value is invalid.
 func Parse(data []byte) (Settings, error) {
-	s := Settings{StopWithin: targets.Duration(defaultStopTimeout), UnreadyFor: targets.Duration(defaultDrainDelay), MaxBodyBytes: defaultMaxBodyBytes}
-	s.Logs.Format = TextLogs
+	s := Settings{StopTimeout: targets.Duration(defaultStopTimeout), DrainDelay: targets.Duration(defaultDrainDelay), MaxBodyBytes: defaultMaxBodyBytes}
+	s.Logs.Format = LogFormatText
 	s.Logs.Level = logrus.InfoLevel.String()
 	if err := register.DecodeStrict(data, &s); err != nil {
 		return Settings{}, err
@@ -105,13 +105,13 @@
 	if len(s.FleetSecret) < minSecretBytes {
 		return &targets.FieldError{Field: "fleet-secret", Problem: "must have at least 16 bytes"}
 	}
-	if s.AlsoAcceptSecret != "" && len(s.AlsoAcceptSecret) < minSecretBytes {
+	if s.SecondarySecret != "" && len(s.SecondarySecret) < minSecretBytes {
 		return &targets.FieldError{Field: "also-accept-secret", Problem: "must have at least 16 bytes"}
 	}
-	if s.StopWithin <= 0 {
+	if s.StopTimeout <= 0 {
 		return &targets.FieldError{Field: "stop-within", Problem: "must be over 0"}
 	}
-	if s.UnreadyFor < 0 || s.UnreadyFor >= s.StopWithin {
+	if s.DrainDelay < 0 || s.DrainDelay >= s.StopTimeout {
 		return &targets.FieldError{Field: "unready-for", Problem: "must not be negative, and less than stop-within"}
 	}
 	if s.MaxBodyBytes <= 0 || s.MaxBodyBytes > maxBodyBytesLimit {
@@ -146,7 +146,7 @@
 }
 
 func (s Settings) validateTelemetry() error {
-	if s.Logs.Format != TextLogs && s.Logs.Format != JSONLogs {
+	if s.Logs.Format != LogFormatText && s.Logs.Format != LogFormatJSON {
 		return &targets.FieldError{Field: "logs.format", Problem: "must be text or json"}
 	}
 	if _, err := logrus.ParseLevel(s.Logs.Level); err != nil {
@@ -163,10 +163,10 @@
 	return nil
 }
 
-// Secrets returns the secrets that are accepted from other processes of the fleet.
-func (s Settings) Secrets() []string {
-	if s.AlsoAcceptSecret == "" {
+// AcceptedSecrets returns the secrets that are accepted from other processes of the fleet.
+func (s Settings) AcceptedSecrets() []string {
+	if s.SecondarySecret == "" {
 		return []string{s.FleetSecret}
 	}
-	return []string{s.FleetSecret, s.AlsoAcceptSecret}
+	return []string{s.FleetSecret, s.SecondarySecret}
 }
--- a/jackdawd/internal/telemetry/meter.go
+++ b/jackdawd/internal/telemetry/meter.go
@@ -39,8 +39,8 @@
 	return &Meter{registry: metrics.NewRegistry()}
 }
 
-// Answered records a complete response and whether its first token came within the class's target.
-func (m *Meter) Answered(class string, target, firstToken, total time.Duration) {
+// RecordResponse records a complete response and whether its first token came within the class's target.
+func (m *Meter) RecordResponse(class string, target, firstToken, total time.Duration) {
 	m.timer("first_token_seconds", class).Update(firstToken)
 	m.timer("answer_seconds", class).Update(total)
 	if firstToken > target {
@@ -75,8 +75,8 @@
 	return metrics.GetOrRegisterCounter(strings.Join([]string{"late_answers", "class", class}, labelSeparator), m.registry)
 }
 
-// Refused counts a refusal by class and code.
-func (m *Meter) Refused(class string, refusal *work.Refusal) {
+// RecordRefusal counts a refusal by class and code.
+func (m *Meter) RecordRefusal(class string, refusal *work.Refusal) {
 	name := strings.Join([]string{"refusals", "class", class, "code", string(refusal.Code)}, labelSeparator)
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(1)
 }
@@ -103,14 +103,14 @@
 	m.registry.GetOrRegister(name, metrics.NewFunctionalGauge(read))
 }
 
-// Family registers a gauge with one label, before Handler is called.
+// GaugeFamily registers a gauge with one label, before Handler is called.
 // Whenever metrics are collected, read returns the gauge's values by label value.
-func (m *Meter) Family(name, label string, read func() map[string]int64) {
+func (m *Meter) GaugeFamily(name, label string, read func() map[string]int64) {
 	m.families = append(m.families, gaugeFamily{name: name, label: label, read: read})
 }
 
-// Retried counts a retry by the code of the refusal that caused it.
-func (m *Meter) Retried(code work.Code) {
+// RecordRetry counts a retry by the code of the refusal that caused it.
+func (m *Meter) RecordRetry(code work.Code) {
 	name := strings.Join([]string{"retries", "code", string(code)}, labelSeparator)
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(1)
 }
--- a/jackdawd/internal/telemetry/traces.go
+++ b/jackdawd/internal/telemetry/traces.go
@@ -49,7 +49,7 @@
 		return fmt.Errorf("set up logs: %w", err)
 	}
 	logrus.SetLevel(level)
-	if s.Logs.Format == settings.JSONLogs {
+	if s.Logs.Format == settings.LogFormatJSON {
 		logrus.SetFormatter(&logrus.JSONFormatter{})
 	}
 	return nil
--- a/jackdawd/internal/work/item.go
+++ b/jackdawd/internal/work/item.go
@@ -34,16 +34,16 @@
 	Service    *ServiceCall               `json:"service,omitempty"`
 	Idempotent bool                       `json:"idempotent"`
 	Urgency    targets.Urgency            `json:"urgency"`
-	// Target is the class's target for the time to the first token.
-	Target time.Duration `json:"target"`
-	// BeginWithin is the part of the target that remains when the item is passed on.
-	BeginWithin time.Duration `json:"begin-within"`
-	// Seen holds the load rows of the upstreams that the item was moved away from.
-	Seen []peers.Row `json:"seen,omitempty"`
+	// FirstTokenTarget is the class's target for the time to the first token.
+	FirstTokenTarget time.Duration `json:"target"`
+	// RemainingTarget is the part of the target that remains when the item is passed on.
+	RemainingTarget time.Duration `json:"begin-within"`
+	// VisitedRows holds the load rows of the upstreams that the item was moved away from.
+	VisitedRows []peers.UpstreamLoad `json:"seen,omitempty"`
 }
 
-// Returning reports whether the chat has had a response before: it has several messages then.
-func (i *Item) Returning() bool {
+// IsReturningChat reports whether the chat has had a response before: it has several messages then.
+func (i *Item) IsReturningChat() bool {
 	return len(i.Messages) > 1
 }
 
--- a/jackdawd/internal/work/refusal.go
+++ b/jackdawd/internal/work/refusal.go
@@ -35,7 +35,7 @@
 	UnknownClass      Code = "unknown-class"
 	UnknownModel      Code = "unknown-model"
 	TooLarge          Code = "too-large"
-	TooSlow           Code = "caller-too-slow"
+	CallerTooSlow     Code = "caller-too-slow"
 	KeyMissing        Code = "idempotency-key-missing"
 	KeyReused         Code = "idempotency-key-reused"
 	KeyInProgress     Code = "idempotency-key-in-progress"
@@ -61,20 +61,20 @@
 	RetryAfter time.Duration `json:"-"`
 }
 
-// Refuse returns a refusal of a request that has not run.
-func Refuse(status int, code Code, format string, args ...any) *Refusal {
+// NewRefusal returns a refusal of a request that has not run.
+func NewRefusal(status int, code Code, format string, args ...any) *Refusal {
 	return &Refusal{Status: status, Code: code, Outcome: NotRun, Message: fmt.Sprintf(format, args...)}
 }
 
-// Uncertain returns a refusal, with status 502, of a request that may have run.
-func Uncertain(code Code, format string, args ...any) *Refusal {
+// NewUncertainRefusal returns a refusal, with status 502, of a request that may have run.
+func NewUncertainRefusal(code Code, format string, args ...any) *Refusal {
 	return &Refusal{Status: http.StatusBadGateway, Code: code, Outcome: Unknown, Message: fmt.Sprintf(format, args...)}
 }
 
-// Retry sets the time after which the caller may retry and returns the refusal.
+// WithRetryAfter sets the time after which the caller may retry and returns the refusal.
 // It adds jitter of up to half of the delay, so that callers refused together don't retry at the
 // same time.
-func (r *Refusal) Retry(delay time.Duration) *Refusal {
+func (r *Refusal) WithRetryAfter(delay time.Duration) *Refusal {
 	r.RetryAfter = delay + rand.N(delay/2+1)
 	return r
 }
@@ -111,12 +111,12 @@
 	_, _ = w.Write(r.Body())
 }
 
-// ReadRefusal decodes the refusal in the body of an HTTP response. It returns a refusal with outcome
+// DecodeRefusal decodes the refusal in the body of an HTTP response. It returns a refusal with outcome
 // unknown if the body holds none.
-func ReadRefusal(resp *http.Response, body []byte) *Refusal {
+func DecodeRefusal(resp *http.Response, body []byte) *Refusal {
 	var decoded refusalBody
 	if err := json.Unmarshal(body, &decoded); err != nil || decoded.Error == nil || decoded.Error.Code == "" {
-		return Uncertain(UpstreamFailed, "the host answered with status %d", resp.StatusCode)
+		return NewUncertainRefusal(UpstreamFailed, "the host answered with status %d", resp.StatusCode)
 	}
 	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
 		decoded.Error.RetryAfter = time.Duration(seconds) * time.Second
--- a/soak/internal/rig/caller.go
+++ b/soak/internal/rig/caller.go
@@ -31,7 +31,7 @@
 	hostIndex := random.IntN(len(f.hosts))
 	host := f.hosts[hostIndex]
 	e := verdict.Exchange{ID: id, Host: hostIndex, Incarnation: host.Incarnation(), Key: f.operator.randomKey(random, random.IntN(100) < revokedKeyPercent)}
-	caller := standin.Caller{Address: host.publicAddress, Host: routeHost, Key: e.Key, Waits: callerTimeout}
+	caller := standin.Caller{Address: host.publicAddress, Host: routeHost, Key: e.Key, Timeout: callerTimeout}
 	req := f.newRequest(ctx, caller, random, &e)
 	e.Sent = time.Now()
 	resp, err := client.Do(req)
--- a/soak/internal/rig/fleet.go
+++ b/soak/internal/rig/fleet.go
@@ -156,7 +156,7 @@
 	deadline := time.Now().Add(startTimeout)
 	for n, h := range f.hosts {
 		for {
-			caller := standin.Caller{Address: h.publicAddress, Host: routeHost, Key: "key-7", Waits: time.Second}
+			caller := standin.Caller{Address: h.publicAddress, Host: routeHost, Key: "key-7", Timeout: time.Second}
 			req, err := caller.Request(context.Background(), http.MethodGet, "/scan/x", fmt.Sprintf("ready-%d", n), "")
 			if err != nil {
 				return err
@@ -211,7 +211,7 @@
 		f.reloadSettings(host)
 	case plan.StoreForgets:
 		f.record.AddHostFault(-1, start, start)
-		f.store.ForgetAll()
+		f.store.TrimAll()
 	case plan.RestoreStore:
 		f.restoreStore(fault.Duration)
 	case plan.StoreSlow:
@@ -223,7 +223,7 @@
 		f.record.AddHostFault(-1, start, end)
 		f.store.SetFault(storeFaults[fault.Kind])
 		time.Sleep(fault.Duration)
-		f.store.SetFault(standin.Sound)
+		f.store.SetFault(standin.NoFault)
 	case plan.CutStore, plan.CutOneWay, plan.LoseStore:
 		f.record.AddHostFault(hostIndex, start, end)
 		host.storeProxy.SetMode(map[plan.Kind]Mode{plan.CutStore: Blackhole, plan.CutOneWay: BlackholeResponses, plan.LoseStore: Lossy}[fault.Kind])
@@ -253,11 +253,11 @@
 // are removed after their TTL.
 func (f *Fleet) restoreStore(outage time.Duration) {
 	start := time.Now()
-	f.store.SetFault(standin.Silent)
+	f.store.SetFault(standin.Unresponsive)
 	time.Sleep(outage)
 	f.store.Restore(start.Add(-snapshotAge))
 	f.restores.Add(1)
-	f.store.SetFault(standin.Sound)
+	f.store.SetFault(standin.NoFault)
 	f.operator.republish()
 	for _, u := range f.upstreams {
 		u.heartbeat()
@@ -270,7 +270,7 @@
 }
 
 var storeFaults = map[plan.Kind]standin.Fault{
-	plan.StoreFails: standin.Unavailable, plan.StoreLimits: standin.Limited, plan.StoreSilent: standin.Silent, plan.StoreTorn: standin.Torn,
+	plan.StoreFails: standin.Unavailable, plan.StoreLimits: standin.RateLimited, plan.StoreSilent: standin.Unresponsive, plan.StoreTorn: standin.TruncatedBody,
 }
 
 // reloadSettings rewrites a host's settings file and sends SIGHUP.
--- a/soak/internal/rig/operator.go
+++ b/soak/internal/rig/operator.go
@@ -103,16 +103,16 @@
 	}))
 }
 
-func newRoute(name string, kind traffic.Kind, pool string, upstreams int) traffic.Route {
+func newRoute(name string, kind traffic.RouteKind, pool string, upstreams int) traffic.Route {
 	return traffic.Route{
-		Name: name, Host: routeHost, Prefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second, Target: 150 * time.Millisecond,
+		Name: name, Host: routeHost, Prefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second, FirstByteTarget: 150 * time.Millisecond,
 		Destinations: []traffic.Destination{{Pool: pool, Weight: 1}}, MaxUpstreams: upstreams,
 	}
 }
 
 func newStreamRoute(name string, upstreams int) traffic.Route {
 	r := newRoute(name, traffic.Streaming, "reader", upstreams)
-	r.Timeout, r.Target, r.PauseTarget = 4*time.Second, 400*time.Millisecond, 200*time.Millisecond
-	r.Cached, r.Resumable = true, upstreams > 1
+	r.Timeout, r.FirstByteTarget, r.EventIntervalTarget = 4*time.Second, 400*time.Millisecond, 200*time.Millisecond
+	r.PromptCaching, r.Resumable = true, upstreams > 1
 	return r
 }
--- a/soak/internal/rig/upstream.go
+++ b/soak/internal/rig/upstream.go
@@ -91,7 +91,7 @@
 		return
 	}
 	u.heartbeats++
-	u.store.PutEntry(u.id, u.runner.EntryOf(u.service, u.proxy.Address(), "a", u.state, u.heartbeats))
+	u.store.PutEntry(u.id, u.runner.EntryWithSequence(u.service, u.proxy.Address(), "a", u.state, u.heartbeats))
 }
 
 // removeStaleEntries removes the entries of past incarnations, which a restored snapshot may
@@ -151,7 +151,7 @@
 	var out []verdict.Execution
 	for i, r := range u.runners {
 		for _, run := range r.Runs() {
-			out = append(out, verdict.Execution{ID: run.ID, Pool: u.service, Upstream: u.ids[i], Started: run.At, Ended: run.Ended})
+			out = append(out, verdict.Execution{ID: run.ID, Pool: u.service, Upstream: u.ids[i], Started: run.Started, Ended: run.Ended})
 		}
 	}
 	return out
@@ -166,7 +166,7 @@
 // shedAll refuses every request.
 func shedAll(*standin.Runner) standin.Behavior {
 	return func(w http.ResponseWriter, _ *http.Request, _ []byte) bool {
-		standin.Shed(w)
+		standin.RejectNotExecuted(w)
 		return true
 	}
 }
@@ -174,7 +174,7 @@
 // executeAndHang executes every request and never answers.
 func executeAndHang(r *standin.Runner) standin.Behavior {
 	return func(_ http.ResponseWriter, req *http.Request, body []byte) bool {
-		r.Note(req, body)
+		r.RecordRun(req, body)
 		<-req.Context().Done()
 		return true
 	}
@@ -194,18 +194,18 @@
 		if turn == 0 {
 			return false
 		}
-		id := r.Note(req, body).ID
+		id := r.RecordRun(req, body).ID
 		c, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			return true
 		}
 		defer func() { _ = c.Close() }()
-		truncated := standin.Head(http.StatusOK, id, "s") + "Content-Length: 100\r\n\r\ncut"
+		truncated := standin.ResponseHead(http.StatusOK, id, "s") + "Content-Length: 100\r\n\r\ncut"
 		if turn == 1 {
 			_, _ = io.WriteString(c, truncated)
 			return true
 		}
-		response := standin.Head(http.StatusInternalServerError, id, "s") + "Content-Length: 2\r\n\r\nno"
+		response := standin.ResponseHead(http.StatusInternalServerError, id, "s") + "Content-Length: 2\r\n\r\nno"
 		_, _ = io.WriteString(c, response+response)
 		// Keep the connection open until the peer sends or closes, so that it gets the second
 		// response.
--- a/standin/platform/log.go
+++ b/standin/platform/log.go
@@ -36,9 +36,9 @@
 	l.down = down
 }
 
-// LoseAnswers makes the next n appends take effect but return ErrUnavailable, as if the response
+// LoseResponses makes the next n appends take effect but return ErrUnavailable, as if the response
 // were lost.
-func (l *Log) LoseAnswers(n int) {
+func (l *Log) LoseResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lostResponses = n
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -74,7 +74,7 @@
 		return
 	}
 	log.SetDown(faults.Down)
-	log.LoseAnswers(faults.LoseResponses)
+	log.LoseResponses(faults.LoseResponses)
 }
 
 func serveHosts(hosts *HostList, w http.ResponseWriter, r *http.Request) {
