--- a/jackdawd/internal/cmd/runplatformcmd.go
+++ b/jackdawd/internal/cmd/runplatformcmd.go
@@ -136,24 +136,24 @@
 		case <-ctx.Done():
 			return
 		case <-hangup:
-			logrus.Info("settings: Reading the file again after SIGHUP.")
+			logrus.Info("settings: Reloading the settings file after SIGHUP.")
 		case <-ticker.C:
 		}
 		s, err := platform.ReadSettings()
 		if err != nil {
-			logrus.WithError(err).Warn("settings: The file cannot be used. The last settings stay in force.")
+			logrus.WithError(err).Warn("settings: Reading the settings file failed. The last settings stay in force.")
 			continue
 		}
 		if s.Equal(current) {
 			continue
 		}
 		if s.CallerAddress != current.CallerAddress || s.ReadinessAddress != current.ReadinessAddress || s.AdminAddress != current.AdminAddress {
-			logrus.Warn("settings: Addresses to listen on change only with a restart.")
+			logrus.Warn("settings: Changed listen addresses take effect only after a restart.")
 		}
 		store.SetAddress(s.StoreAddress)
 		host.SetBounds(entryBounds(s.Bounds))
 		current = s
-		logrus.WithFields(logrus.Fields{"store": s.StoreAddress, "revoke": s.Bounds.MaxRevocationDelay.String(), "drain": s.Bounds.MaxDrainDelay.String(), "in-force": s.Bounds.MaxConfigurationAge.String()}).Info("settings: The changed file is in force.")
+		logrus.WithFields(logrus.Fields{"store": s.StoreAddress, "revoke": s.Bounds.MaxRevocationDelay.String(), "drain": s.Bounds.MaxDrainDelay.String(), "in-force": s.Bounds.MaxConfigurationAge.String()}).Info("settings: The changed settings are in force.")
 	}
 }
 
@@ -162,7 +162,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	if err := stop(ctx); err != nil {
-		logrus.WithError(err).Warn("entry: The last traces were not sent.")
+		logrus.WithError(err).Warn("entry: Flushing the last traces failed.")
 	}
 }
 
--- a/jackdawd/internal/entry/host.go
+++ b/jackdawd/internal/entry/host.go
@@ -238,7 +238,7 @@
 			}
 		}()
 	}
-	logrus.WithField("callers", h.options.CallerAddress).Info("entry: The host serves.")
+	logrus.WithField("callers", h.options.CallerAddress).Info("entry: Serving requests.")
 	select {
 	case <-ctx.Done():
 		return nil
@@ -260,7 +260,7 @@
 	start := time.Now()
 	h.draining.Store(true)
 	h.handler.Drain(start.Add(balancerDrainDelay))
-	logrus.WithField("in-progress", h.handler.InProgress()).Info("entry: Stopping. Requests in progress finish.")
+	logrus.WithField("in-progress", h.handler.InProgress()).Info("entry: Stopping. Waiting for requests in progress.")
 	deadline := start.Add(h.bounds.Load().GracePeriod - abortMargin)
 	for time.Now().Before(deadline) {
 		if time.Since(start) > balancerDrainDelay && h.handler.InProgress() == 0 {
--- a/jackdawd/internal/fleet/deadline.go
+++ b/jackdawd/internal/fleet/deadline.go
@@ -94,7 +94,7 @@
 func (c configurations) readStoreDirectly(ctx context.Context) (*traffic.Configuration, error) {
 	logrus.WithFields(logrus.Fields{
 		"peer": c.Following(), "configuration-age": c.state.Age().String(), "list-age": c.ListAge().String(),
-	}).Info("fleet: Nothing was heard in time. The store is asked.")
+	}).Info("fleet: No update from other hosts in time. Asking the store.")
 	next, err := c.readConfiguration(ctx, 0)
 	c.lastDirectRead = directRead{at: time.Now(), failed: err != nil}
 	if err != nil {
--- a/jackdawd/internal/fleet/directory.go
+++ b/jackdawd/internal/fleet/directory.go
@@ -230,7 +230,7 @@
 		}
 		var registration Registration
 		if err := json.Unmarshal(data, &registration); err != nil {
-			logrus.WithError(err).WithField("peer", name).Warn("fleet: A host's notice cannot be read.")
+			logrus.WithError(err).WithField("peer", name).Warn("fleet: Ignoring a host registration that cannot be decoded.")
 			continue
 		}
 		decoded[name] = &registration
--- a/jackdawd/internal/fleet/exchange.go
+++ b/jackdawd/internal/fleet/exchange.go
@@ -308,7 +308,7 @@
 	defer client.Close()
 	var reply ExchangeReply
 	if err := client.Call(ctx, previous.Address, exchangeCall, &ExchangeArgs{Host: s.options.Name, Leaves: true}, &reply); err != nil {
-		logrus.WithError(err).WithField("peer", previous.Name).Debug("fleet: A host that was followed was not told of that.")
+		logrus.WithError(err).WithField("peer", previous.Name).Debug("fleet: Detaching from the previous parent host failed.")
 	}
 }
 
@@ -338,7 +338,7 @@
 	summary := plan.Summary()
 	logrus.WithFields(logrus.Fields{
 		"named": summary.ListedEngines, "limited": summary.LimitedEngines, "most": summary.MaxLoad, "prompts": summary.Prompts, "bytes": plan.Size(),
-	}).Info("fleet: A plan was drawn.")
+	}).Info("fleet: Computed a plan.")
 }
 
 // inProgress returns the requests in progress at this host and its children.
--- a/jackdawd/internal/fleet/newest.go
+++ b/jackdawd/internal/fleet/newest.go
@@ -46,7 +46,7 @@
 		go func() {
 			newer, err := c.fetchNewest(ctx, other, readVersion)
 			if err != nil {
-				logrus.WithError(err).WithField("peer", other.Name).Info("fleet: A host does not tell which configuration it knows.")
+				logrus.WithError(err).WithField("peer", other.Name).Info("fleet: Asking a host for its configuration failed.")
 			}
 			answers <- newer
 		}()
@@ -57,7 +57,7 @@
 		}
 	}
 	if newest.Version() > readVersion {
-		logrus.WithFields(logrus.Fields{"read": readVersion, "version": newest.Version()}).Info("fleet: Other hosts know a newer configuration than the store.")
+		logrus.WithFields(logrus.Fields{"read": readVersion, "version": newest.Version()}).Info("fleet: Other hosts have a newer configuration than the store.")
 	}
 	return newest
 }
--- a/jackdawd/internal/fleet/quarantine.go
+++ b/jackdawd/internal/fleet/quarantine.go
@@ -124,7 +124,7 @@
 	var reply ReportReply
 	if err := s.quarantineClientFor(parent).Call(ctx, parent.Address, reportCall, &ReportArgs{Cases: cases}, &reply); err != nil {
 		// The follow calls detect whether the parent is gone.
-		logrus.WithError(err).WithField("peer", parent.Name).Debug("fleet: The host above was not told of crashes. It is told again.")
+		logrus.WithError(err).WithField("peer", parent.Name).Debug("fleet: Reporting crashes to the parent host failed. Retrying.")
 		return since
 	}
 	return until
@@ -146,14 +146,14 @@
 		reply, err := s.fetchRecords(ctx, parent, known)
 		if err != nil {
 			if !failing && ctx.Err() == nil {
-				logrus.WithError(err).WithField("peer", parent.Name).Info("fleet: The host above does not tell of crashes. It is asked again.")
+				logrus.WithError(err).WithField("peer", parent.Name).Info("fleet: Fetching crash records from the parent host failed. Retrying.")
 			}
 			failing = true
 			pause.For(ctx, roleCheckInterval)
 			continue
 		}
 		if failing {
-			logrus.WithField("peer", parent.Name).Info("fleet: The host above tells of crashes.")
+			logrus.WithField("peer", parent.Name).Info("fleet: The parent host sends crash records again.")
 		}
 		failing = false
 		s.options.Quarantine.Merge(time.Now(), reply.Cases)
--- a/jackdawd/internal/fleet/quarantine_notices.go
+++ b/jackdawd/internal/fleet/quarantine_notices.go
@@ -129,7 +129,7 @@
 		notices, whole, until, err := s.options.QuarantineStore.Next(ctx, quarantinePollWait)
 		if err != nil {
 			if ctx.Err() == nil {
-				logrus.WithError(err).Info("fleet: The notices of barred requests were not read. They are read again.")
+				logrus.WithError(err).Info("fleet: Reading the notices of quarantined requests failed. Retrying.")
 			}
 			backoff = nextStoreBackoff(backoff)
 			pause.For(ctx, backoff+rand.N(backoff/2))
@@ -154,7 +154,7 @@
 		r, err := quarantine.DecodeNotice(now, request, notice)
 		switch {
 		case err != nil:
-			logrus.WithError(err).Warn("fleet: A notice of a barred request was skipped.")
+			logrus.WithError(err).Warn("fleet: Skipped an invalid notice of a quarantined request.")
 		case r.Expired():
 			s.removeNotice(ctx, request)
 		default:
@@ -204,7 +204,7 @@
 func (s *Source) release(now time.Time, request string) {
 	f, err := quarantine.ParseFingerprint(request)
 	if err != nil {
-		logrus.WithError(err).Warn("fleet: A notice of a barred request was skipped.")
+		logrus.WithError(err).Warn("fleet: Skipped an invalid notice of a quarantined request.")
 		return
 	}
 	s.options.Quarantine.RecordResponse(now, f)
@@ -214,7 +214,7 @@
 func (s *Source) putNotice(ctx context.Context, request string, notice []byte) bool {
 	position, err := s.options.QuarantineStore.Put(ctx, request, notice)
 	if err != nil {
-		logrus.WithError(err).WithField("fingerprint", request).Info("fleet: The notice of a barred request was not written. It is tried again.")
+		logrus.WithError(err).WithField("fingerprint", request).Info("fleet: Writing the notice of a quarantined request failed. Retrying.")
 		return false
 	}
 	if s.knownNotices.recordPut(request, position) {
@@ -226,6 +226,6 @@
 // removeNotice removes the notice of a request. Later reads of the store confirm the removal.
 func (s *Source) removeNotice(ctx context.Context, request string) {
 	if _, err := s.options.QuarantineStore.Put(ctx, request, nil); err != nil {
-		logrus.WithError(err).WithField("fingerprint", request).Info("fleet: The notice of a barred request was not removed.")
+		logrus.WithError(err).WithField("fingerprint", request).Info("fleet: Removing the notice of a quarantined request failed.")
 	}
 }
--- a/jackdawd/internal/fleet/registration.go
+++ b/jackdawd/internal/fleet/registration.go
@@ -158,7 +158,7 @@
 	}
 	err = s.options.HostRegistry.Put(ctx, s.directory.Self().Name, data)
 	if err != nil {
-		logrus.WithError(err).Warn("fleet: This host's notice was not written. It is tried again.")
+		logrus.WithError(err).Warn("fleet: Registering this host failed. Retrying.")
 	}
 	s.registrationSchedule.finishAttempt(time.Now(), err)
 }
--- a/jackdawd/internal/fleet/search.go
+++ b/jackdawd/internal/fleet/search.go
@@ -97,7 +97,7 @@
 	}
 	if !outage.logged {
 		outage.logged = true
-		logrus.WithError(err).WithField("peer", stale.Reader).Info("fleet: The host above has lost the store. It is waited for.")
+		logrus.WithError(err).WithField("peer", stale.Reader).Info("fleet: The parent host has lost the store. Waiting for it.")
 	}
 	if c.ListAge() < c.searchListAge() {
 		return true
--- a/jackdawd/internal/fleet/source.go
+++ b/jackdawd/internal/fleet/source.go
@@ -206,7 +206,7 @@
 	s.cancel = cancel
 	s.state = state
 	if err := s.checkBounds(); err != nil {
-		logrus.WithError(err).Warn("fleet: Hosts must ask the store more often to keep a bound.")
+		logrus.WithError(err).Warn("fleet: A bound is short. Hosts must read the store more often to keep it.")
 	}
 	s.done.Go(func() { s.followQuarantineNotices(ctx) })
 	s.done.Go(func() { s.publishQuarantineNotices(ctx) })
@@ -257,13 +257,13 @@
 	}
 	server, err := s.listen(svc)
 	if err != nil {
-		logrus.WithError(err).Error("fleet: Other hosts cannot be answered.")
+		logrus.WithError(err).Error("fleet: Starting the server for other hosts failed.")
 		return
 	}
 	s.server = server
 	s.done.Go(func() {
 		if err := server.Start(ctx); err != nil {
-			logrus.WithError(err).Error("fleet: Other hosts are no longer answered.")
+			logrus.WithError(err).Error("fleet: The server for other hosts stopped.")
 		}
 	})
 }
@@ -294,7 +294,7 @@
 	defer cancel()
 	if err := s.options.HostRegistry.Put(ctx, s.options.Name, nil); err != nil {
 		// Other hosts detect that this one is gone.
-		logrus.WithError(err).Info("fleet: This host's notice was not removed.")
+		logrus.WithError(err).Info("fleet: Removing this host's registration failed.")
 	}
 	err := server.Stop(ctx)
 	s.mu.Lock()
@@ -343,7 +343,7 @@
 func (s *Source) leave(ctx context.Context, parent Peer, took time.Duration, err error) {
 	logrus.WithError(err).WithFields(logrus.Fields{
 		"peer": parent.Name, "took": took.String(), "configuration-age": s.state.Age().String(), "list-age": s.ListAge().String(),
-	}).Info("fleet: The reader is left.")
+	}).Info("fleet: Stopped following the reader.")
 	s.askedHost = ""
 	s.dropClient(parent)
 	s.suspect(ctx, parent, err)
@@ -356,7 +356,7 @@
 		return
 	}
 	if err := s.options.HostRegistry.Put(ctx, peer.Name, nil); err != nil {
-		logrus.WithError(err).WithField("peer", peer.Name).Warn("fleet: The notice of a host that is gone was not removed.")
+		logrus.WithError(err).WithField("peer", peer.Name).Warn("fleet: Removing the registration of an unreachable host failed.")
 	}
 }
 
@@ -369,8 +369,8 @@
 		case s.parentLeft <- struct{}{}:
 		default:
 		}
-		logrus.WithField("peer", previous.Name).Info("fleet: The store is read here.")
+		logrus.WithField("peer", previous.Name).Info("fleet: This host reads the store itself.")
 	case parent != nil && (previous == nil || previous.Name != parent.Name):
-		logrus.WithField("peer", parent.Name).Info("fleet: A reader is followed.")
+		logrus.WithField("peer", parent.Name).Info("fleet: Following a reader.")
 	}
 }
--- a/jackdawd/internal/fleet/upstreams.go
+++ b/jackdawd/internal/fleet/upstreams.go
@@ -113,7 +113,7 @@
 // handleRestored handles a restore of the store from an older backup, which lacks what this host
 // has written since.
 func (s *Source) handleRestored() {
-	logrus.Info("fleet: The store has come back from an older copy. What hosts wrote is written again.")
+	logrus.Info("fleet: The store was restored from an older backup. Hosts write their entries again.")
 	s.knownNotices.clear()
 	s.notifyRestored()
 }
--- a/jackdawd/internal/membership/poll.go
+++ b/jackdawd/internal/membership/poll.go
@@ -23,14 +23,14 @@
 		}
 		if err != nil {
 			if !unavailable {
-				logrus.WithError(err).WithField("age", t.Age().String()).Warn("membership: The configuration cannot be read. The last one stays in force.")
+				logrus.WithError(err).WithField("age", t.Age().String()).Warn("membership: Reading the configuration failed. The last one stays in force.")
 			}
 			unavailable, wait, retry = true, 0, nextRetryInterval(retry)
 			pause.For(ctx, retry+rand.N(retry/2))
 			continue
 		}
 		if unavailable {
-			logrus.Info("membership: The configuration can be read again.")
+			logrus.Info("membership: Reading the configuration succeeds again.")
 		}
 		unavailable, wait, retry = false, t.pollWait(), 0
 		if c == nil {
@@ -66,7 +66,7 @@
 		return
 	}
 	s.configuration = c
-	logrus.WithFields(logrus.Fields{"version": c.Version(), "routes": c.RouteCount(), "age": age.String()}).Info("membership: A configuration is in force.")
+	logrus.WithFields(logrus.Fields{"version": c.Version(), "routes": c.RouteCount(), "age": age.String()}).Info("membership: A new configuration is in force.")
 	t.publish(s)
 }
 
@@ -83,7 +83,7 @@
 		}
 		if err != nil {
 			if !unavailable {
-				logrus.WithError(err).Warn("membership: The upstreams cannot be read. The last list stays in use.")
+				logrus.WithError(err).Warn("membership: Reading the list of upstreams failed. The last list stays in use.")
 			}
 			unavailable, retry = true, nextRetryInterval(retry)
 			pause.For(ctx, retry+rand.N(retry/2))
@@ -94,7 +94,7 @@
 			if time.Since(lastRead) > t.bounds.Load().EntryTTL {
 				recovered = time.Now()
 			}
-			logrus.Info("membership: The upstreams can be read again.")
+			logrus.Info("membership: Reading the list of upstreams succeeds again.")
 		}
 		if change.Restored {
 			recovered = time.Now()
--- a/jackdawd/internal/membership/state.go
+++ b/jackdawd/internal/membership/state.go
@@ -58,7 +58,7 @@
 // upstreams still run.
 func (t *Tracker) applyUpstreamChange(s *state, change traffic.UpstreamChange, graceEnd time.Time) {
 	for _, err := range change.Skipped {
-		logrus.WithError(err).Warn("membership: An upstream's entry was skipped.")
+		logrus.WithError(err).Warn("membership: Skipped an upstream's entry that cannot be used.")
 	}
 	changed := !s.upstreamsKnown
 	s.upstreamsKnown = true
@@ -182,7 +182,7 @@
 	if restarted {
 		// Failures before the restart say nothing of the new start.
 		s.evidence.Remove(u.ID)
-		logrus.WithField("upstream", u.ID).Info("membership: An upstream has started again.")
+		logrus.WithField("upstream", u.ID).Info("membership: Upstream restarted.")
 	}
 	old.Sequence = u.Sequence
 	if known && reflect.DeepEqual(old, u) {
@@ -193,7 +193,7 @@
 		return returned
 	}
 	s.changes.add(traffic.ListedEntry(u))
-	logrus.WithFields(logrus.Fields{"upstream": u.ID, "pool": u.Pool, "state": u.State}).Info("membership: An upstream's entry changed.")
+	logrus.WithFields(logrus.Fields{"upstream": u.ID, "pool": u.Pool, "state": u.State}).Info("membership: Upstream entry changed.")
 	return true
 }
 
@@ -208,7 +208,7 @@
 		delete(s.removeAt, id)
 		s.remove(id)
 		changed = true
-		logrus.WithField("upstream", id).Info("membership: An upstream is gone.")
+		logrus.WithField("upstream", id).Info("membership: Upstream removed.")
 	}
 	if !changed {
 		return false
--- a/jackdawd/internal/membership/tracker.go
+++ b/jackdawd/internal/membership/tracker.go
@@ -228,7 +228,7 @@
 	case t.inputs <- func(s *state) {
 		if _, ok := s.upstreams[start.ID]; ok && !s.restartedSince(start) {
 			s.remove(start.ID)
-			logrus.WithField("upstream", start.ID).Info("membership: Another upstream has the address. This one is gone.")
+			logrus.WithField("upstream", start.ID).Info("membership: Upstream removed because another one answers at its address.")
 			t.publish(s)
 		}
 	}:
@@ -242,7 +242,7 @@
 	if !t.leaving.add(time.Now(), start) {
 		return
 	}
-	logrus.WithField("upstream", start.ID).Info("membership: An upstream says in its answers that it leaves.")
+	logrus.WithField("upstream", start.ID).Info("membership: Upstream announced in a response that it leaves.")
 	select {
 	case t.inputs <- t.applyLeaving:
 	default:
@@ -304,7 +304,7 @@
 	}
 	s.overAge = overAge
 	if overAge {
-		logrus.WithFields(logrus.Fields{"age": age.String(), "bound": bound.String()}).Warn("membership: The configuration may be older than operators allow.")
+		logrus.WithFields(logrus.Fields{"age": age.String(), "bound": bound.String()}).Warn("membership: The configuration may be older than the bound.")
 		return
 	}
 	logrus.WithField("age", age.String()).Info("membership: The configuration is known in time again.")
@@ -357,12 +357,12 @@
 	avoided := t.avoidedUpstreams(s)
 	for id := range avoided {
 		if !s.avoided[id] {
-			logrus.WithFields(logrus.Fields{"upstream": id, "pool": s.upstreams[id].Pool}).Info("membership: An upstream is avoided for failing here.")
+			logrus.WithFields(logrus.Fields{"upstream": id, "pool": s.upstreams[id].Pool}).Info("membership: Upstream avoided because requests from this host fail.")
 		}
 	}
 	for id := range s.avoided {
 		if !avoided[id] {
-			logrus.WithField("upstream", id).Info("membership: An upstream is trusted again.")
+			logrus.WithField("upstream", id).Info("membership: Upstream no longer avoided.")
 		}
 	}
 	s.avoided = avoided
--- a/jackdawd/internal/node/node.go
+++ b/jackdawd/internal/node/node.go
@@ -190,6 +190,6 @@
 	n.partitions.Close()
 	n.peerClient.Close()
 	err = errors.Join(err, n.controlServer.Stop(ctx), n.adminServer.Stop(ctx))
-	logrus.Info("node: Host stopped.")
+	logrus.Info("node: Stopped.")
 	return err
 }
--- a/jackdawd/internal/quarantine/registry.go
+++ b/jackdawd/internal/quarantine/registry.go
@@ -119,7 +119,7 @@
 	r.markChanged(s)
 	if !before && s.quarantined() {
 		logrus.WithFields(logrus.Fields{"fingerprint": record.Request.String(), "crashes": len(s.crashes), "for": s.expiresAt().Sub(now).String()}).
-			Warn("quarantine: A request is kept from upstreams, which end under it.")
+			Warn("quarantine: Request quarantined because upstreams crashed while they ran it.")
 	}
 	return true
 }
