--- a/jackdawd/internal/entry/host.go
+++ b/jackdawd/internal/entry/host.go
@@ -19,7 +19,7 @@
 	"jackdawhinge/jackdawd/internal/placement"
 	"jackdawhinge/jackdawd/internal/quarantine"
 	"jackdawhinge/jackdawd/internal/relay"
-	"jackdawhinge/jackdawd/internal/stories"
+	"jackdawhinge/jackdawd/internal/requestlog"
 	"jackdawhinge/jackdawd/internal/telemetry"
 )
 
@@ -136,7 +136,7 @@
 	h.budgets = relay.NewRetryBudgets(o.Bounds.RetryRatio)
 	h.handler = relay.NewHandler(relay.Options{
 		Protocol: o.Protocol, Membership: h.members, Client: h.client, Loads: h.loads, Balancer: h.balancer, Warmth: placement.NewCacheLocations(), Turnovers: placement.NewRequestStats(),
-		RetryBudgets: h.budgets, Admission: admission.NewController(), Quarantine: h.quarantine, Backoffs: relay.NewBackoffs(), Recorder: stories.NewWriter(o.RoutineLogger, o.AnomalyLogger, o.Meter),
+		RetryBudgets: h.budgets, Admission: admission.NewController(), Quarantine: h.quarantine, Backoffs: relay.NewBackoffs(), Recorder: requestlog.NewWriter(o.RoutineLogger, o.AnomalyLogger, o.Meter),
 		FailureDomain: o.FailureDomain, InSameRegion: o.InSameRegion, MaxTotalBodyBytes: o.MaxTotalBodyBytes, LoadMultiple: h.loadMultiple, HostCount: h.hostCount,
 	})
 	h.registerGauges(o.Meter)
--- a/jackdawd/internal/stories/writer_test.go
+++ b/jackdawd/internal/requestlog/writer_test.go
@@ -1,4 +1,4 @@
-package stories
+package requestlog
 
 import (
 	"bytes"
