--- a/common/peers/messages.go
+++ b/common/peers/messages.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// A UpstreamLoad is the load of one upstream, named by the hash of its name, as counted by its owner host.
+// An UpstreamLoad is the load of one upstream, as counted by its owner host. Upstream is the hash of
+// the upstream's name.
 type UpstreamLoad struct {
 	Upstream uint64
 	Load     int64 // in tokens
@@ -11,7 +12,8 @@
 	Gone bool
 }
 
-// UpstreamLoads holds rows as columns, which take two thirds of the bytes of a slice of structs on the wire.
+// UpstreamLoads holds rows as columns, which take two thirds of the bytes of a slice of structs on
+// the wire.
 type UpstreamLoads struct {
 	Upstreams []uint64
 	Loads     []int64
@@ -99,7 +101,7 @@
 	Answer []byte
 }
 
-// CloseArgs closes a claim. Void reports that its request was not and will not be executed;
+// CloseArgs states how a claim ended. Void reports that its request was not and will not be executed;
 // otherwise State and Answer hold the outcome and the response. Key and Body are hashes.
 type CloseArgs struct {
 	Claim  string
--- a/common/register/record.go
+++ b/common/register/record.go
@@ -41,7 +41,7 @@
 	Patch        Patch  `json:"patch"`
 }
 
-// A Checkpoint is the state after every record with an offset below Through.
+// A Checkpoint is the state after every record with an offset below NextOffset.
 type Checkpoint struct {
 	NextOffset int64 `json:"through"`
 	State      State `json:"state"`
--- a/common/report/claims.go
+++ b/common/report/claims.go
@@ -32,8 +32,8 @@
 	Keys            int `json:"keys"`
 }
 
-// A Claim is one attempt to execute a request with an idempotency key, as recorded in the log; Read
-// is the time since the host read the record.
+// A Claim is one attempt to execute a request with an idempotency key, as recorded in the log;
+// ReadAgo is the time since the host read the record.
 type Claim struct {
 	ID      string           `json:"id"`
 	Offset  int64            `json:"offset"`
@@ -41,7 +41,7 @@
 	ReadAgo targets.Duration `json:"read-ago"`
 }
 
-// Claims holds the claims on one key. Whole is false while the host has not read the key's
+// Claims holds the claims on one key. Complete is false while the host has not read the key's
 // partition of the log to its end.
 type Claims struct {
 	Partition uint64  `json:"partition"`
--- a/common/report/report.go
+++ b/common/report/report.go
@@ -13,9 +13,9 @@
 	ExplainPath = "/explain"
 )
 
-// An Upstream is a host's view of an upstream. Loads are in tokens; Known is false if the load is
-// unknown, Mean is the mean load of the model's upstreams, Waiting counts queued requests, and
-// Limit is the concurrency limit in tokens.
+// An Upstream is a host's view of an upstream. Loads are in tokens; LoadKnown is false if the load
+// is unknown, MeanLoad is the mean load of the model's upstreams, Waiting counts queued requests,
+// and Limit is the concurrency limit in tokens.
 type Upstream struct {
 	Name          string  `json:"name"`
 	Model         string  `json:"model"`
@@ -30,8 +30,8 @@
 }
 
 // A Class holds a host's statistics of one request class since its start. Target is the latency
-// target for the first token and FirstToken the 95th percentile of recent responses; Late counts
-// responses that missed the target.
+// target for the first token and FirstTokenP95 the 95th percentile of recent responses;
+// LateResponses counts those that missed the target.
 type Class struct {
 	Name          string           `json:"name"`
 	Target        targets.Duration `json:"first-token-within"`
--- a/common/roster/host.go
+++ b/common/roster/host.go
@@ -23,7 +23,8 @@
 )
 
 // A Host is one entry of the platform's host list. Its addresses consist of an IP address and a
-// port; Control is that of the control plane, and Capacity is the memory of an engine in tokens.
+// port; ControlAddress is that of the control plane, and CapacityTokens is the memory of an engine
+// in tokens.
 type Host struct {
 	Name           string   `json:"name"`
 	Role           Role     `json:"role"`
--- a/common/targets/document.go
+++ b/common/targets/document.go
@@ -33,7 +33,7 @@
 // A ModelKind tells model engines from plain services.
 type ModelKind string
 
-// The kinds of upstreams.
+// The kinds of models.
 const (
 	Engine  ModelKind = "engine"
 	Service ModelKind = "service"
--- a/common/traffic/request.go
+++ b/common/traffic/request.go
@@ -53,7 +53,7 @@
 	return tokens
 }
 
-// A ForwardMetadata is the metadata that a host adds to a request that it forwards to an upstream.
+// ForwardMetadata is the metadata that a host adds to a request that it forwards to an upstream.
 type ForwardMetadata struct {
 	// Upstream identifies the only incarnation that may execute the request.
 	Upstream string
@@ -77,12 +77,12 @@
 	Slots   int
 }
 
-// An Response is what a protocol adapter decodes from the head of an upstream's response.
+// A Response is what a protocol adapter decodes from the head of an upstream's response.
 type Response struct {
 	// ID is the ID of the request that the response is for; empty if the response states none.
 	ID string
-	// NotExecuted reports that the upstream did not execute the request and never will, so that it may
-	// be retried.
+	// NotExecuted reports that the upstream did not execute the request and never will, so that it
+	// may be retried.
 	NotExecuted bool
 	// Upstream identifies the responding incarnation; empty if the response states none.
 	Upstream string
@@ -96,8 +96,8 @@
 	// Leaving reports that the upstream drains, which its entry in the platform's list may not say
 	// yet.
 	Leaving bool
-	// Backoff is how long the upstream, which rejected this request, wants no further ones
-	// from this host; 0 if the response states none.
+	// Backoff is how long this host should send no further requests to the upstream, which rejected
+	// this one; 0 if the response states none.
 	Backoff time.Duration
 	// IdleTimeout is how long the upstream keeps an idle connection open; 0 if the response states
 	// none.
--- a/common/traffic/upstream.go
+++ b/common/traffic/upstream.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// A UpstreamState is the lifecycle state that an upstream reports.
+// An UpstreamState is the lifecycle state that an upstream reports.
 type UpstreamState string
 
 // The states of an upstream.
@@ -17,7 +17,7 @@
 	ID string
 	// Incarnation tells restarts apart that keep the identifier.
 	Incarnation Incarnation
-	// Hash is HashOf(ID).
+	// Hash is HashID(ID).
 	Hash          uint64
 	Pool          string
 	Address       string
@@ -35,8 +35,8 @@
 // tells restarts apart that keep the identifier; a later one is higher.
 type Incarnation int64
 
-// A UpstreamInstance identifies one incarnation of an upstream. State learnt about one incarnation, such as
-// its cache contents or failures, does not apply to another.
+// An UpstreamInstance identifies one incarnation of an upstream. State learnt about one incarnation,
+// such as its cache contents or failures, does not apply to another.
 type UpstreamInstance struct {
 	ID          string
 	Incarnation Incarnation
@@ -87,7 +87,8 @@
 
 // An UpstreamChange is the difference between two reads of the platform's list of upstreams.
 type UpstreamChange struct {
-	// Complete is set if Entries is the complete list, so that upstreams missing from it were removed.
+	// Complete is set if Entries is the complete list, so that upstreams missing from it were
+	// removed.
 	Complete bool
 	// Restored is set if the list was restored from an older backup; upstreams missing from it may
 	// have been added after that backup.
--- a/common/upstream/protocol.go
+++ b/common/upstream/protocol.go
@@ -57,8 +57,8 @@
 	CapacityTokens int64 `json:"capacity-tokens"`
 }
 
-// A CacheEvent reports that an engine cached or evicted a chat's prefix. Numbers are consecutive; a
-// missing one means that an event was lost.
+// A CacheEvent reports that an engine cached or evicted a chat's prefix. Sequence numbers are
+// consecutive; a missing one means that an event was lost.
 type CacheEvent struct {
 	Sequence int64  `json:"number"`
 	Chat     string `json:"chat"`
@@ -66,7 +66,8 @@
 	Evicted  bool   `json:"evicted,omitempty"`
 }
 
-// An ServiceResponse is the complete response of a plain service, sent between entry hosts in one frame.
+// A ServiceResponse is the complete response of a plain service, sent between entry hosts in one
+// frame.
 type ServiceResponse struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content-type"`
