--- a/jackdawd/internal/control/controller.go
+++ b/jackdawd/internal/control/controller.go
@@ -31,8 +31,8 @@
 	updateBufferSize   = 256
 )
 
-// A Journal reads and appends records of the platform's log service.
-type Journal interface {
+// A Log reads and appends records of the platform's log service.
+type Log interface {
 	Append(ctx context.Context, stream string, records ...json.RawMessage) (int64, error)
 	Read(ctx context.Context, stream string, from int64, wait time.Duration) (journal.Batch, error)
 }
@@ -42,8 +42,8 @@
 	Read(ctx context.Context, tag string) (list roster.List, newTag string, changed bool, err error)
 }
 
-// A CheckpointFetcher fetches other entry hosts' configuration; the result is false if a host has no
-// complete one.
+// A CheckpointFetcher fetches the configuration from other entry hosts; the result is false if a
+// host has no complete one.
 type CheckpointFetcher interface {
 	Checkpoint(ctx context.Context, from routing.EntryHost) (register.Checkpoint, bool, error)
 }
@@ -52,8 +52,8 @@
 type Controller struct {
 	self             string
 	region           string
-	journal          Journal
-	list             HostListReader
+	log              Log
+	hostList         HostListReader
 	peers            CheckpointFetcher
 	listConfirmedAt  atomic.Int64
 	view             atomic.Pointer[routing.View]
@@ -68,7 +68,7 @@
 
 // state is owned by the control goroutine.
 type state struct {
-	fold         *register.Replica
+	replica      *register.Replica
 	hosts        []roster.Host
 	outliers     *OutlierDetector
 	avoided      map[string]bool
@@ -78,11 +78,11 @@
 
 // Options are the settings and dependencies of a Controller.
 type Options struct {
-	Self    string
-	Region  string
-	Journal Journal
-	List    HostListReader
-	Peers   CheckpointFetcher
+	Self     string
+	Region   string
+	Log      Log
+	HostList HostListReader
+	Peers    CheckpointFetcher
 	// OnView is called by the control goroutine with each new view.
 	OnView func(*routing.View)
 }
@@ -91,10 +91,10 @@
 func NewController(o Options) *Controller {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Controller{
-		self: o.Self, region: o.Region, journal: o.Journal, list: o.List, peers: o.Peers, onView: o.OnView,
+		self: o.Self, region: o.Region, log: o.Log, hostList: o.HostList, peers: o.Peers, onView: o.OnView,
 		updates: make(chan func(*state), updateBufferSize), cancel: cancel, done: make(chan struct{}),
 	}
-	s := &state{fold: register.NewReplica(), outliers: NewOutlierDetector(), checkpointAt: time.Now()}
+	s := &state{replica: register.NewReplica(), outliers: NewOutlierDetector(), checkpointAt: time.Now()}
 	c.publish(s)
 	go func() {
 		defer close(c.done)
@@ -116,7 +116,8 @@
 	return c.view.Load()
 }
 
-// LatestCheckpoint returns the latest complete configuration as a checkpoint, or false if there is none yet.
+// LatestCheckpoint returns the latest complete configuration as a checkpoint, or false if there
+// is none yet.
 func (c *Controller) LatestCheckpoint() (register.Checkpoint, bool) {
 	p := c.latestCheckpoint.Load()
 	if p == nil {
@@ -215,7 +216,7 @@
 
 func (c *Controller) publish(s *state) {
 	s.avoided = c.avoidedHosts(s)
-	current := s.fold.State()
+	current := s.replica.State()
 	view := routing.NewView(routing.ViewInput{
 		Self: c.self, Region: c.region, Revision: current.Revision, Document: current.Document,
 		Hosts: s.hosts,
@@ -223,10 +224,10 @@
 		Avoid: func(name string) bool { return name != c.self && s.avoided[name] },
 	})
 	c.view.Store(view)
-	if cp, ok := s.fold.Checkpoint(); ok {
+	if cp, ok := s.replica.Checkpoint(); ok {
 		c.latestCheckpoint.Store(&cp)
 	}
-	c.complete.Store(s.fold.IsComplete())
+	c.complete.Store(s.replica.IsComplete())
 	// A host that was ready stays ready with the configuration it has.
 	c.ready.Store(c.ready.Load() || (s.caughtUp && s.hosts != nil))
 	if c.onView != nil {
@@ -237,7 +238,7 @@
 func (c *Controller) readHosts(ctx context.Context) {
 	tag := ""
 	for ctx.Err() == nil {
-		list, newTag, changed, err := c.list.Read(ctx, tag)
+		list, newTag, changed, err := c.hostList.Read(ctx, tag)
 		switch {
 		case ctx.Err() != nil:
 			return
@@ -270,13 +271,13 @@
 func (c *Controller) readConfiguration(ctx context.Context) {
 	from := int64(0)
 	for ctx.Err() == nil {
-		batch, err := c.journal.Read(ctx, register.StreamName, from, c.readTimeout())
+		batch, err := c.log.Read(ctx, register.StreamName, from, c.readTimeout())
 		var trimmed *journal.TrimmedError
 		switch {
 		case errors.As(err, &trimmed):
 			from = trimmed.Earliest
 			c.enqueue(ctx, func(s *state) {
-				s.fold.SkipTo(trimmed.Earliest)
+				s.replica.SkipTo(trimmed.Earliest)
 				c.publish(s)
 			})
 			if c.ready.Load() {
@@ -314,14 +315,14 @@
 
 func (c *Controller) applyRecords(s *state, batch journal.Batch) {
 	for _, r := range batch.Records {
-		if err := s.fold.Apply(r); err != nil {
+		if err := s.replica.Apply(r); err != nil {
 			logrus.WithError(err).Error("control: Skipped an invalid configuration record.")
 		}
 		if rec, err := register.DecodeRecord(r.Data); err == nil && rec.Kind == register.CheckpointRecord {
 			s.checkpointAt = time.Now()
 		}
 	}
-	if len(batch.Records) == 0 && s.fold.IsComplete() {
+	if len(batch.Records) == 0 && s.replica.IsComplete() {
 		s.caughtUp = true
 	}
 	if len(batch.Records) > 0 || !c.ready.Load() {
@@ -349,10 +350,10 @@
 			continue
 		}
 		c.enqueue(ctx, func(s *state) {
-			if s.fold.Install(cp) {
+			if s.replica.Install(cp) {
 				logrus.WithField("revision", cp.State.Revision).Infof("control: Fetched the configuration from host %s.", host.Name())
 			}
-			s.caughtUp = s.caughtUp || s.fold.IsComplete()
+			s.caughtUp = s.caughtUp || s.replica.IsComplete()
 			c.publish(s)
 		})
 		return
@@ -366,7 +367,7 @@
 // checkpointOwnerKey does; if it fails to, any other host does an interval later.
 // Duplicates are harmless, as they hold the same state at the same offset.
 func (c *Controller) appendCheckpointIfDue(ctx context.Context, s *state) {
-	cp, complete := s.fold.Checkpoint()
+	cp, complete := s.replica.Checkpoint()
 	if !complete || cp.State.Revision == 0 {
 		return
 	}
@@ -384,7 +385,7 @@
 		return
 	}
 	go func() {
-		if _, err := c.journal.Append(ctx, register.StreamName, data); err != nil {
+		if _, err := c.log.Append(ctx, register.StreamName, data); err != nil {
 			logrus.WithError(err).Warn("control: Appending the checkpoint failed.")
 		}
 	}()
--- a/jackdawd/internal/control/outlier.go
+++ b/jackdawd/internal/control/outlier.go
@@ -40,7 +40,7 @@
 	// answers here needs more failures before peer scores make it avoided.
 	maxCredit = 2
 	// peerScoreFactor weights the sum of peers' scores that is added to this host's own
-	// score, up to maxPeerScore. Without a failure of its own a host avoids nobody;
+	// score, up to maxPeerScore. Without a failure of its own a host avoids no other;
 	// otherwise peers with a failing network could make all hosts avoid an upstream.
 	peerScoreFactor = 0.5
 	maxPeerScore    = scoreAfterAvoidance
--- a/jackdawd/internal/dispatch/router.go
+++ b/jackdawd/internal/dispatch/router.go
@@ -270,7 +270,7 @@
 	rt.meter.RecordRetry(refusal.Code)
 	rt.failedUpstreams = append(rt.failedUpstreams, rt.upstreamName)
 	// Without the Gone row, an owner that remembers the chat at the failed upstream
-	// would keep moving it back there until the tries are used up.
+	// would keep moving it there until the tries are used up.
 	rt.visited = append(rt.visited, peers.UpstreamLoad{Upstream: routing.NameHash(rt.upstreamName), Gone: true})
 	rt.attempt = 1
 	// The target is already missed, but a late response is better than none.
--- a/jackdawd/internal/dispatch/service.go
+++ b/jackdawd/internal/dispatch/service.go
@@ -22,7 +22,7 @@
 func (o *Owner) callService(ctx context.Context, item *work.Item, u *routing.Upstream, sink delivery.Sink) error {
 	callCtx, cancel := context.WithTimeout(ctx, maxFirstFrameTimeout)
 	defer cancel()
-	answer, err := o.requestService(callCtx, item, u)
+	response, err := o.requestService(callCtx, item, u)
 	if delivery.IsDialError(err) {
 		o.recordFailure(ctx, u)
 		return work.NewRefusal(http.StatusServiceUnavailable, work.NoUpstream, "upstream %s cannot be reached", u.Name()).WithRetryAfter(overloadRetryAfter)
@@ -32,7 +32,7 @@
 		return work.NewUncertainRefusal(work.UpstreamFailed, "upstream %s gave no whole answer: %v", u.Name(), err)
 	}
 	o.observer.Observe(u.Name(), true)
-	if err := sink(upstream.Frame{RequestID: item.ID, Finish: upstream.FinishStop, Response: answer}); err != nil {
+	if err := sink(upstream.Frame{RequestID: item.ID, Finish: upstream.FinishStop, Response: response}); err != nil {
 		return work.NewUncertainRefusal(work.Cancelled, "the reader of the answer left")
 	}
 	return nil
--- a/jackdawd/internal/intake/chat.go
+++ b/jackdawd/internal/intake/chat.go
@@ -53,7 +53,7 @@
 	if refusal != nil {
 		return nil, c, nil, false, refusal
 	}
-	if pool, ok := h.view().Pool(chat.model); !ok || pool.Kind() != targets.Engine {
+	if pool, ok := h.currentView().Pool(chat.model); !ok || pool.Kind() != targets.Engine {
 		return nil, c, nil, false, work.NewRefusal(http.StatusNotFound, work.UnknownModel, "model: there is no model %q", chat.model)
 	}
 	chatID := r.Header.Get(ChatHeader)
--- a/jackdawd/internal/intake/handler.go
+++ b/jackdawd/internal/intake/handler.go
@@ -39,7 +39,7 @@
 	writeTimeout = 15 * time.Second
 	maxKeyBytes  = 255
 	// maxInProgress is the maximum number of requests in progress on a host, which limits its memory.
-	// It is ten times the number on a host of a fleet of the size it is designed for.
+	// It is ten times the number expected on a host of a fleet of the size that it is designed for.
 	maxInProgress      = 8192
 	overloadRetryAfter = 2 * time.Second
 )
@@ -57,7 +57,7 @@
 
 // A Handler serves requests of callers.
 type Handler struct {
-	view         func() *routing.View
+	currentView  func() *routing.View
 	router       Router
 	executor     *ledger.Executor
 	meter        Meter
@@ -68,9 +68,9 @@
 
 // NewHandler returns a handler that routes requests with the router, those of non-idempotent classes
 // through the executor. It refuses bodies of more than maxBodyBytes.
-func NewHandler(view func() *routing.View, router Router, executor *ledger.Executor, meter Meter, maxBodyBytes int64) *Handler {
+func NewHandler(currentView func() *routing.View, router Router, executor *ledger.Executor, meter Meter, maxBodyBytes int64) *Handler {
 	return &Handler{
-		view: view, router: router, executor: executor, meter: meter, maxBodyBytes: maxBodyBytes,
+		currentView: currentView, router: router, executor: executor, meter: meter, maxBodyBytes: maxBodyBytes,
 		tracer: otel.Tracer("jackdawd/intake"), slots: make(chan struct{}, maxInProgress),
 	}
 }
@@ -100,7 +100,7 @@
 // authenticate returns the caller of a request, or a refusal if the token is wrong, the workspace may
 // not use the class, or the idempotency key is missing or too long.
 func (h *Handler) authenticate(r *http.Request) (caller, *work.Refusal) {
-	doc := h.view().Document()
+	doc := h.currentView().Document()
 	workspaceName := r.Header.Get(WorkspaceHeader)
 	token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	workspace, ok := doc.Workspaces[workspaceName]
--- a/jackdawd/internal/intake/service.go
+++ b/jackdawd/internal/intake/service.go
@@ -36,7 +36,7 @@
 		return nil, c, nil, refusal
 	}
 	name, path, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, ServicePath), "/")
-	if pool, ok := h.view().Pool(name); !ok || pool.Kind() != targets.Service {
+	if pool, ok := h.currentView().Pool(name); !ok || pool.Kind() != targets.Service {
 		return nil, c, nil, work.NewRefusal(http.StatusNotFound, work.UnknownModel, "there is no service %q", name)
 	}
 	body, refusal = h.readBody(w, r)
--- a/jackdawd/internal/ledger/claimindex.go
+++ b/jackdawd/internal/ledger/claimindex.go
@@ -49,11 +49,11 @@
 }
 
 type outcome struct {
-	claim  string
-	body   string
-	offset int64
-	state  peers.ClaimState
-	answer []byte
+	claim    string
+	body     string
+	offset   int64
+	state    peers.ClaimState
+	response []byte
 }
 
 // keyOffset names the key of the record at an offset, so that Trim finds the keys to trim.
@@ -103,7 +103,7 @@
 		k.voids = append(k.voids, void{claim: rec.Claim, offset: r.Offset})
 	case OutcomeRecord:
 		if k.outcome == nil || k.outcome.claim == rec.Claim {
-			k.outcome = &outcome{claim: rec.Claim, body: rec.Body, offset: r.Offset, state: rec.State, answer: rec.Answer}
+			k.outcome = &outcome{claim: rec.Claim, body: rec.Body, offset: r.Offset, state: rec.State, response: rec.Answer}
 		}
 	}
 	return nil
@@ -163,7 +163,7 @@
 		return
 	}
 	if holder := k.holder(); holder != nil && holder.id == args.Claim {
-		k.outcome = &outcome{claim: args.Claim, body: args.Body, offset: holder.offset, state: args.State, answer: args.Answer}
+		k.outcome = &outcome{claim: args.Claim, body: args.Body, offset: holder.offset, state: args.State, response: args.Answer}
 	}
 }
 
@@ -209,7 +209,7 @@
 		if k.outcome.body != args.Body {
 			return peers.ClaimReply{State: peers.BodyMismatch}, true
 		}
-		return peers.ClaimReply{State: k.outcome.state, Answer: k.outcome.answer}, true
+		return peers.ClaimReply{State: k.outcome.state, Answer: k.outcome.response}, true
 	}
 	for _, c := range k.claims {
 		if c.id == args.Claim && c.decidable && c.granted && !k.isVoided(c.id, 0) {
--- a/jackdawd/internal/ledger/manager.go
+++ b/jackdawd/internal/ledger/manager.go
@@ -43,7 +43,7 @@
 	return &PartitionManager{log: log, partitions: map[uint64]*Partition{}, owned: map[uint64]bool{}}
 }
 
-// Claim claims a key in its partition. Its state is peers.Unready if the ledger is closed.
+// Claim claims a key in its partition. The reply's state is peers.Unavailable if the ledger is closed.
 func (m *PartitionManager) Claim(ctx context.Context, args peers.ClaimArgs) (peers.ClaimReply, error) {
 	p, ok := m.open(PartitionOf(args.Key))
 	if !ok {
--- a/jackdawd/internal/measure/lease_policy_test.go
+++ b/jackdawd/internal/measure/lease_policy_test.go
@@ -11,8 +11,9 @@
 // request.
 const minLeaseTokens = 8000
 
-// leasePolicy routes by leases: owners of upstreams lease blocks of tokens to entry hosts, which
-// then route without asking. The simulation favors it, as owners know the mean load exactly.
+// leasePolicy, "credits" in benchmark names, routes by leases: owners of upstreams lease blocks
+// of tokens to entry hosts, which then route without asking. The simulation favors it, as owners
+// know the mean load exactly.
 type leasePolicy struct {
 	*simulation
 	leased       map[uint64]int64
--- a/jackdawd/internal/node/node.go
+++ b/jackdawd/internal/node/node.go
@@ -57,14 +57,14 @@
 	n.partitions = ledger.NewPartitionManager(logClient)
 	n.control = control.NewController(control.Options{
 		Self: s.Name, Region: roster.Host{FailureDomain: s.FailureDomain}.Region(),
-		Journal: logClient, List: listClient, Peers: checkpointClient{n.peerClient}, OnView: n.applyView,
+		Log: logClient, HostList: listClient, Peers: checkpointClient{n.peerClient}, OnView: n.applyView,
 	})
 	client := delivery.NewClient()
 	n.owner = dispatch.NewOwner(n.control.View, n.balancer, client, n.control)
 	meter := telemetry.NewMeter()
 	n.meter = meter
 	router := dispatch.NewRouter(n.control.View, n.owner, dispatch.NewHTTPPeer(client, s.FleetSecret), client, n.control, meter)
-	executor := ledger.NewExecutor(&claimRouter{view: n.control.View, partitions: n.partitions, peerClient: n.peerClient})
+	executor := ledger.NewExecutor(&claimRouter{currentView: n.control.View, partitions: n.partitions, peerClient: n.peerClient})
 	handler := intake.NewHandler(n.control.View, router, executor, meter, s.MaxBodyBytes)
 	server, err := peers.NewServer(s.Listen.Control, s.AcceptedSecrets(), map[string]any{
 		"Control": &controlService{node: n}, "Ledger": &ledgerService{partitions: n.partitions},
@@ -111,7 +111,7 @@
 // View returns the node's current snapshot of configuration and hosts.
 func (n *Node) View() *routing.View { return n.control.View() }
 
-// Balancer returns the upstreams' loads as the node knows them.
+// Balancer returns the balancer, which holds the upstreams' loads as this host knows them.
 func (n *Node) Balancer() *routing.Balancer { return n.balancer }
 
 // QueueDepth returns the number of requests queued for an upstream, their tokens and the upstream's
@@ -177,7 +177,7 @@
 }
 
 // Stop stops the node gracefully. It first reports not ready, then waits for requests in progress,
-// those from other entry hosts last, and then stops control. It returns the servers' errors.
+// those from other entry hosts last, and then stops the controller. It returns the servers' errors.
 func (n *Node) Stop() error {
 	n.stopping.Store(true)
 	logrus.Info("node: Draining. Waiting for requests in progress.")
--- a/jackdawd/internal/node/services.go
+++ b/jackdawd/internal/node/services.go
@@ -100,9 +100,9 @@
 // claimRouter sends claims to the host that owns their partition, so that few hosts read each
 // partition and concurrent claims share an append.
 type claimRouter struct {
-	view       func() *routing.View
-	partitions *ledger.PartitionManager
-	peerClient *peers.Client
+	currentView func() *routing.View
+	partitions  *ledger.PartitionManager
+	peerClient  *peers.Client
 }
 
 func partitionHash(partition uint64) uint64 {
@@ -141,7 +141,7 @@
 }
 
 func (r *claimRouter) owner(key string) (host routing.EntryHost, local bool) {
-	view := r.view()
+	view := r.currentView()
 	host, ok := view.Owner(partitionHash(ledger.PartitionOf(key)))
 	return host, !ok || host.Name() == view.Self()
 }
--- a/jackdawd/internal/queue/scheduler.go
+++ b/jackdawd/internal/queue/scheduler.go
@@ -53,15 +53,15 @@
 }
 
 const (
-	// lingerDivisor limits a returning chat's wait for its warm upstream to a third of its
-	// remaining time.
+	// lingerDivisor limits a returning chat's wait for the upstream that has its prefix cached
+	// to a third of its remaining time.
 	lingerDivisor = 3
 	// maxLinger limits that wait for classes with targets of hours.
 	maxLinger = 5 * time.Second
 )
 
-// LingerDeadline returns the time until which a returning chat waits for its warm upstream
-// before it is moved.
+// LingerDeadline returns the time until which a returning chat waits for the upstream that has
+// its prefix cached before it is moved.
 func (t Ticket) LingerDeadline(now time.Time) time.Time {
 	return now.Add(min(t.BeginDeadline.Sub(now)/lingerDivisor, maxLinger))
 }
--- a/jackdawd/internal/routing/balancer.go
+++ b/jackdawd/internal/routing/balancer.go
@@ -195,7 +195,8 @@
 	Accept Placement = "accept"
 	// Moved means that the request goes to another upstream.
 	Moved Placement = "moved"
-	// Linger means that the request waits a limited time for its warm upstream before it is moved.
+	// Linger means that the request waits a limited time for the upstream that likely has its
+	// prefix cached, before it is moved.
 	Linger Placement = "linger"
 	// Wait means that the request waits for this upstream until its deadline.
 	Wait Placement = "wait"
@@ -318,7 +319,7 @@
 		return nil
 	}
 	// A host with a newer list returns a request that was moved to an upstream which has
-	// left; moving it there again would use up its tries.
+	// left; moving it there again would use up its attempts.
 	if now.Sub(m.lastUsed) > moveTTL || slices.ContainsFunc(c.VisitedRows, func(r Row) bool { return r.Gone && r.Upstream == m.upstream }) {
 		b.moves.Remove(chat)
 		return nil
