--- a/common/targets/document.go
+++ b/common/targets/document.go
@@ -98,7 +98,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// A Model is a model or plain service that clients may request by name.
+// A Model is a model or plain service that callers may request by name.
 type Model struct {
 	Kind ModelKind `json:"kind"`
 	// LoadMultiple is the maximum load of an engine as a multiple of the pool's mean load (the
--- a/common/traffic/configuration.go
+++ b/common/traffic/configuration.go
@@ -29,7 +29,7 @@
 	CacheTokens int64
 }
 
-// Limits bound the size and the duration of what a client sends.
+// Limits bound the size and the duration of what a caller sends.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -88,7 +88,7 @@
 // other hosts; callers must not modify it.
 func (c *Configuration) Document() []byte { return c.document }
 
-// Limits returns the limits on client requests.
+// Limits returns the limits on callers' requests.
 func (c *Configuration) Limits() Limits { return c.limits }
 
 // Pool returns the pool with the given name, and false if there is none.
--- a/common/traffic/request.go
+++ b/common/traffic/request.go
@@ -12,15 +12,15 @@
 	Tokens int
 }
 
-// A Request is what a protocol adapter decodes from the head of a client's request.
+// A Request is what a protocol adapter decodes from the head of a caller's request.
 type Request struct {
-	// ID identifies this attempt of the client; a retry by the client has another ID.
+	// ID identifies this attempt of the caller; a retry by the caller has another ID.
 	ID string
-	// Key is the client's API key; empty if there is none.
+	// Key is the caller's API key; empty if there is none.
 	Key string
-	// TimeLeft is the client's timeout; 0 if the request states none.
+	// TimeLeft is the caller's timeout; 0 if the request states none.
 	TimeLeft time.Duration
-	// ResumeAfter is the ID of the last event that the client has of an earlier response; empty for
+	// ResumeAfter is the ID of the last event that the caller has of an earlier response; empty for
 	// none.
 	ResumeAfter  string
 	Model        string
@@ -57,13 +57,13 @@
 type ForwardMetadata struct {
 	// Upstream identifies the only incarnation that may execute the request.
 	Upstream string
-	// Workspace is the name of the workspace of the client's key; empty if there was no key.
+	// Workspace is the name of the workspace of the caller's key; empty if there was no key.
 	Workspace string
-	// TimeLeft is the remaining time until the client gives up.
+	// TimeLeft is the remaining time until the caller gives up.
 	TimeLeft time.Duration
 	// Urgency ranges from 0, the most urgent, to 9.
 	Urgency int
-	// ResumeAfter is the ID of the last event delivered to the client; empty for none.
+	// ResumeAfter is the ID of the last event delivered to the caller; empty for none.
 	ResumeAfter string
 	// FetchFrom is the address of another engine that may have a longer prefix of the prompt
 	// cached, to copy it from; empty for none.
--- a/common/upstream/protocol.go
+++ b/common/upstream/protocol.go
@@ -25,7 +25,7 @@
 	Messages  []Message `json:"messages"`
 	MaxTokens int       `json:"max-tokens"`
 	Priority  int       `json:"priority"`
-	// Options holds fields of the client's request that are passed to the engine unchanged.
+	// Options holds fields of the caller's request that are passed to the engine unchanged.
 	Options map[string]json.RawMessage `json:"options,omitempty"`
 }
 
