--- a/jackdawd/internal/dispatch/owner.go
+++ b/jackdawd/internal/dispatch/owner.go
@@ -114,7 +114,7 @@
 
 // Serve streams the named upstream's response to the sink, or returns the move to
 // another upstream. The error is a *work.Refusal.
-func (o *Owner) Serve(ctx context.Context, item *work.Item, upstreamName string, attempt int, sink delivery.Sink) (Move, error) {
+func (o *Owner) Serve(ctx context.Context, item *work.Item, upstreamName string, moveCount int, sink delivery.Sink) (Move, error) {
 	beginDeadline := time.Now().Add(item.RemainingTarget)
 	visited := visitedRows(item)
 	o.balancer.Merge(time.Now(), visited)
@@ -127,7 +127,7 @@
 		return moveToFirstChoice(pool, item.Chat)
 	}
 	candidate := routing.Candidate{
-		Chat: item.Chat, Upstream: u, Cost: o.estimateCost(item, pool), Returning: item.IsReturningChat(), Urgency: item.Urgency, Attempt: attempt, VisitedRows: visited,
+		Chat: item.Chat, Upstream: u, Cost: o.estimateCost(item, pool), Returning: item.IsReturningChat(), Urgency: item.Urgency, MoveCount: moveCount, VisitedRows: visited,
 	}
 	q := o.queueFor(u, item.Model)
 	move, release, err := o.admit(ctx, pool, candidate, q, o.newTicket(item, candidate.Cost, beginDeadline))
--- a/jackdawd/internal/dispatch/peer.go
+++ b/jackdawd/internal/dispatch/peer.go
@@ -24,10 +24,10 @@
 const PeerPath = "/peer/v1/items"
 
 const (
-	upstreamHeader = "X-Upstream"
-	attemptHeader  = "X-Attempt"
-	secretHeader   = "X-Fleet-Secret"
-	maxItemBytes   = 16 << 20
+	upstreamHeader  = "X-Upstream"
+	moveCountHeader = "X-Attempt"
+	secretHeader    = "X-Fleet-Secret"
+	maxItemBytes    = 16 << 20
 	// ownerStallTimeout gives the owner time to resume a stalled upstream first.
 	ownerStallTimeout = 4 * stallTimeout
 )
@@ -44,11 +44,11 @@
 }
 
 // Serve forwards an item to its owner and the frames of the response to the sink.
-func (p *HTTPPeer) Serve(ctx context.Context, host routing.EntryHost, item *work.Item, upstreamName string, attempt int, sink delivery.Sink) (Move, error) {
+func (p *HTTPPeer) Serve(ctx context.Context, host routing.EntryHost, item *work.Item, upstreamName string, moveCount int, sink delivery.Sink) (Move, error) {
 	// The owner resumes a stalled upstream itself, so only a hanging owner exceeds this timeout.
 	ctx, stall := withStallTimeout(ctx, item.RemainingTarget+maxFirstFrameTimeout+stallTimeout)
 	defer stall.stop()
-	resp, err := p.send(ctx, host, item, upstreamName, attempt)
+	resp, err := p.send(ctx, host, item, upstreamName, moveCount)
 	if err != nil {
 		return Move{}, err
 	}
@@ -73,7 +73,7 @@
 	return Move{}, work.DecodeRefusal(resp, body)
 }
 
-func (p *HTTPPeer) send(ctx context.Context, host routing.EntryHost, item *work.Item, upstreamName string, attempt int) (*http.Response, error) {
+func (p *HTTPPeer) send(ctx context.Context, host routing.EntryHost, item *work.Item, upstreamName string, moveCount int) (*http.Response, error) {
 	body, err := json.Marshal(item)
 	if err != nil {
 		return nil, work.NewRefusal(http.StatusBadRequest, work.BadRequest, "the request cannot be encoded")
@@ -83,7 +83,7 @@
 		return nil, fmt.Errorf("pass item to host %s: %w", host.Name(), err)
 	}
 	req.Header.Set(upstreamHeader, upstreamName)
-	req.Header.Set(attemptHeader, strconv.Itoa(attempt))
+	req.Header.Set(moveCountHeader, strconv.Itoa(moveCount))
 	req.Header.Set(secretHeader, p.secret)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 	return p.client.DoByIdempotency(req, item.Idempotent)
@@ -116,16 +116,16 @@
 }
 
 func serveForwarded(owner *Owner, item *work.Item, w http.ResponseWriter, r *http.Request) {
-	attempt, err := strconv.Atoi(r.Header.Get(attemptHeader))
+	moveCount, err := strconv.Atoi(r.Header.Get(moveCountHeader))
 	if err != nil {
-		work.NewRefusal(http.StatusBadRequest, work.BadRequest, "%s is no number", attemptHeader).Write(w)
+		work.NewRefusal(http.StatusBadRequest, work.BadRequest, "%s is no number", moveCountHeader).Write(w)
 		return
 	}
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := owner.tracer.Start(ctx, "owner")
 	defer span.End()
 	frames := &frameWriter{w: w, enc: json.NewEncoder(w), controller: http.NewResponseController(w)}
-	move, err := owner.Serve(ctx, item, r.Header.Get(upstreamHeader), attempt, frames.write)
+	move, err := owner.Serve(ctx, item, r.Header.Get(upstreamHeader), moveCount, frames.write)
 	var refusal *work.Refusal
 	switch {
 	case frames.started && err != nil:
--- a/jackdawd/internal/dispatch/router.go
+++ b/jackdawd/internal/dispatch/router.go
@@ -19,12 +19,12 @@
 	"jackdawhinge/jackdawd/internal/work"
 )
 
-// maxTries bounds how often one item is sent to an owner, moves included.
-const maxTries = 6
+// maxAttempts bounds how often one item is sent to an owner, moves included.
+const maxAttempts = 6
 
 // A Peer forwards an item to another entry host, the owner of the named upstream.
 type Peer interface {
-	Serve(ctx context.Context, host routing.EntryHost, item *work.Item, upstreamName string, attempt int, sink delivery.Sink) (Move, error)
+	Serve(ctx context.Context, host routing.EntryHost, item *work.Item, upstreamName string, moveCount int, sink delivery.Sink) (Move, error)
 }
 
 // A Meter counts retries.
@@ -60,9 +60,10 @@
 	sink     delivery.Sink
 	progress delivery.Progress
 	pool     *routing.Pool
-	// upstreamName is the upstream to try next; attempt counts the moves so far.
+	// upstreamName is the upstream to try next; moveCount counts the moves so far, and a retry on
+	// another upstream sets it to 1.
 	upstreamName    string
-	attempt         int
+	moveCount       int
 	visited         []peers.UpstreamLoad
 	failedUpstreams []string
 	excludedOwners  []string
@@ -72,7 +73,7 @@
 }
 
 // Route streams an item's response to the sink; the error is a *work.Refusal, or the last
-// owner error once the tries are used up.
+// owner error once the attempts are used up.
 func (r *Router) Route(ctx context.Context, item *work.Item, sink delivery.Sink) error {
 	ctx, span := r.tracer.Start(ctx, "route", trace.WithAttributes(attribute.String("model", item.Model), attribute.String("class", item.Class)))
 	defer span.End()
@@ -95,8 +96,8 @@
 	return rt.withOverallOutcome(err)
 }
 
-// withOverallOutcome returns the error with an outcome that holds for all tries together:
-// a last try that was not run proves nothing about an earlier one that timed out.
+// withOverallOutcome returns the error with an outcome that holds for all attempts together:
+// a last attempt that was not run proves nothing about an earlier one that timed out.
 func (rt *route) withOverallOutcome(err error) error {
 	var refusal *work.Refusal
 	if !errors.As(err, &refusal) || refusal.Outcome != work.NotRun || !rt.mayHaveRun {
@@ -131,7 +132,7 @@
 
 func (rt *route) run(ctx context.Context) error {
 	var lastErr error
-	for range maxTries {
+	for range maxAttempts {
 		move, err := rt.tryOwner(ctx)
 		if move.To != "" {
 			rt.followMove(move)
@@ -162,7 +163,7 @@
 // followMove makes the move's upstream the next one to try.
 func (rt *route) followMove(move Move) {
 	rt.upstreamName = move.To
-	rt.attempt++
+	rt.moveCount++
 	if move.SourceLoad != nil {
 		rt.visited = append(rt.visited, *move.SourceLoad)
 	}
@@ -185,9 +186,9 @@
 	view := rt.currentView()
 	host, ok := view.Owner(u.Hash(), rt.excludedOwners...)
 	if !ok || host.Name() == view.Self() {
-		return rt.owner.Serve(ctx, &item, u.Name(), rt.attempt, rt.forwardFrame)
+		return rt.owner.Serve(ctx, &item, u.Name(), rt.moveCount, rt.forwardFrame)
 	}
-	move, err := rt.peer.Serve(ctx, host, &item, u.Name(), rt.attempt, rt.forwardFrame)
+	move, err := rt.peer.Serve(ctx, host, &item, u.Name(), rt.moveCount, rt.forwardFrame)
 	if err != nil && (ctx.Err() != nil || errors.Is(err, delivery.ErrSinkClosed)) {
 		// The caller cancelled, which looks like a broken connection. If it counted as the
 		// owner's failure, three cancelled requests would make a healthy owner avoided.
@@ -270,9 +271,9 @@
 	rt.meter.RecordRetry(refusal.Code)
 	rt.failedUpstreams = append(rt.failedUpstreams, rt.upstreamName)
 	// Without the Gone row, an owner that remembers the chat at the failed upstream
-	// would keep moving it there until the tries are used up.
+	// would keep moving it there until the attempts are used up.
 	rt.visited = append(rt.visited, peers.UpstreamLoad{Upstream: routing.NameHash(rt.upstreamName), Gone: true})
-	rt.attempt = 1
+	rt.moveCount = 1
 	// The target is already missed, but a late response is better than none.
 	rt.beginDeadline = time.Now().Add(rt.item.RemainingTarget)
 	logrus.WithFields(logrus.Fields{"request": rt.item.ID, "upstream": rt.upstreamName, "code": refusal.Code}).Info("dispatch: Retrying on another upstream.")
--- a/jackdawd/internal/routing/balancer.go
+++ b/jackdawd/internal/routing/balancer.go
@@ -202,8 +202,8 @@
 	Wait Placement = "wait"
 )
 
-// LastAttempt is the attempt number from which a request waits instead of being moved again.
-const LastAttempt = 3
+// MaxMoves is the number of moves after which a request waits instead of being moved again.
+const MaxMoves = 3
 
 // A Candidate is a chat's request for an upstream that this host owns; its cost is in tokens.
 type Candidate struct {
@@ -212,8 +212,8 @@
 	Cost      int64
 	Returning bool
 	Urgency   targets.Urgency
-	// Attempt counts how often the request has been moved.
-	Attempt int
+	// MoveCount counts how often the request has been moved.
+	MoveCount int
 	// VisitedRows holds the loads of the upstreams that it was moved away from.
 	VisitedRows []Row
 }
@@ -227,13 +227,13 @@
 func (b *Balancer) Place(now time.Time, p *Pool, c Candidate) (Placement, *Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c.Attempt < LastAttempt {
+	if c.MoveCount < MaxMoves {
 		if to := b.rememberedUpstream(now, p, c); to != nil && to != c.Upstream {
 			return Moved, to
 		}
 	}
 	current := b.loadOf(c.Upstream.hash).totalTokens()
-	if !c.Returning && c.Attempt < LastAttempt {
+	if !c.Returning && c.MoveCount < MaxMoves {
 		// A new chat has no cached prefix, so it can balance the load before the bound is reached.
 		if to := b.lessLoaded(now, p, c, current); to != nil {
 			b.rememberMove(now, c, to)
@@ -243,7 +243,7 @@
 	switch {
 	case current+c.Cost <= b.loadBound(now, p, c.Upstream, c.Cost, c.Urgency):
 		return Accept, c.Upstream
-	case c.Attempt >= LastAttempt:
+	case c.MoveCount >= MaxMoves:
 		return Wait, c.Upstream
 	case c.Returning:
 		return Linger, c.Upstream
