--- a/common/register/record.go
+++ b/common/register/record.go
@@ -13,9 +13,9 @@
 // StreamName is the name of the configuration stream.
 const StreamName = "targets"
 
-// Format is the newest record format that this version reads; adding a field increments it, as
-// unknown fields are refused.
-const Format = 1
+// LatestFormat is the newest record format that this version reads; adding a field increments it,
+// as unknown fields are refused.
+const LatestFormat = 1
 
 // A RecordKind is the kind of a record of the configuration stream.
 type RecordKind string
@@ -57,7 +57,7 @@
 
 // Encode returns the record as JSON in the newest format.
 func (r Record) Encode() (json.RawMessage, error) {
-	r.Format = Format
+	r.Format = LatestFormat
 	data, err := json.Marshal(r)
 	if err != nil {
 		return nil, fmt.Errorf("encode %s record: %w", r.Kind, err)
@@ -66,7 +66,7 @@
 }
 
 // DecodeRecord decodes a record. It returns an error if data is malformed or, wrapping
-// journal.ErrNewerFormat, if its format is newer than Format.
+// journal.ErrNewerFormat, if its format is newer than LatestFormat.
 func DecodeRecord(data []byte) (Record, error) {
 	var header struct {
 		Format int `json:"format"`
@@ -74,7 +74,7 @@
 	if err := json.Unmarshal(data, &header); err != nil {
 		return Record{}, fmt.Errorf("decode record: %w", err)
 	}
-	if header.Format > Format {
+	if header.Format > LatestFormat {
 		return Record{}, fmt.Errorf("decode record: %w: %d", journal.ErrNewerFormat, header.Format)
 	}
 	var record Record
@@ -82,7 +82,7 @@
 		return Record{}, fmt.Errorf("decode record: %w", err)
 	}
 	switch {
-	case record.Format != Format:
+	case record.Format != LatestFormat:
 		return Record{}, fmt.Errorf("decode record: format %d is unknown", record.Format)
 	case record.Kind == ChangeRecord && record.Change != nil && record.Change.ID != "":
 		return record, nil
--- a/common/traffic/upstream.go
+++ b/common/traffic/upstream.go
@@ -15,7 +15,7 @@
 // upstream, which may have the same address; some upstreams also keep their identifier.
 type Upstream struct {
 	ID string
-	// Incarnation tells restarts apart that keep the identifier.
+	// Incarnation distinguishes restarts that keep the identifier.
 	Incarnation Incarnation
 	// Hash is HashID(ID).
 	Hash          uint64
@@ -32,7 +32,7 @@
 }
 
 // An Incarnation is the start time of an upstream in Unix milliseconds, 0 if it reports none. It
-// tells restarts apart that keep the identifier; a later one is higher.
+// distinguishes restarts that keep the identifier; a later one is higher.
 type Incarnation int64
 
 // An UpstreamInstance identifies one incarnation of an upstream. State learnt about one incarnation,
--- a/jackdawd/internal/dispatch/owner.go
+++ b/jackdawd/internal/dispatch/owner.go
@@ -147,10 +147,10 @@
 
 // visitedRows returns the loads of the upstreams that the item was moved away from.
 // They are exact and recent: in a surge they show a rising mean before exchanged rows do.
-func visitedRows(item *work.Item) []routing.Row {
-	rows := make([]routing.Row, len(item.VisitedRows))
+func visitedRows(item *work.Item) []routing.LoadRow {
+	rows := make([]routing.LoadRow, len(item.VisitedRows))
 	for i, r := range item.VisitedRows {
-		rows[i] = routing.Row(r)
+		rows[i] = routing.LoadRow(r)
 	}
 	return rows
 }
--- a/jackdawd/internal/node/services.go
+++ b/jackdawd/internal/node/services.go
@@ -146,7 +146,7 @@
 	return host, !ok || host.Name() == view.Self()
 }
 
-func packRows(rows []routing.Row) peers.UpstreamLoads {
+func packRows(rows []routing.LoadRow) peers.UpstreamLoads {
 	out := make([]peers.UpstreamLoad, len(rows))
 	for i, r := range rows {
 		out[i] = peers.UpstreamLoad(r)
@@ -154,11 +154,11 @@
 	return peers.PackLoads(out)
 }
 
-func unpackRows(packed peers.UpstreamLoads) []routing.Row {
+func unpackRows(packed peers.UpstreamLoads) []routing.LoadRow {
 	rows := packed.Unpack()
-	out := make([]routing.Row, len(rows))
+	out := make([]routing.LoadRow, len(rows))
 	for i, r := range rows {
-		out[i] = routing.Row(r)
+		out[i] = routing.LoadRow(r)
 	}
 	return out
 }
--- a/jackdawd/internal/routing/balancer.go
+++ b/jackdawd/internal/routing/balancer.go
@@ -34,8 +34,8 @@
 	smoothingFactor = 0.3
 )
 
-// A Row is an upstream's load as its owner counted it, in tokens, and the age of that count.
-type Row struct {
+// A LoadRow is an upstream's load as its owner counted it, in tokens, and the age of that count.
+type LoadRow struct {
 	Upstream uint64
 	Load     int64
 	Age      time.Duration
@@ -132,14 +132,14 @@
 }
 
 // Row returns the row of an upstream that this host owns, with its load in tokens.
-func (b *Balancer) Row(u *Upstream) Row {
+func (b *Balancer) Row(u *Upstream) LoadRow {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return Row{Upstream: u.hash, Load: b.loadOf(u.hash).totalTokens()}
+	return LoadRow{Upstream: u.hash, Load: b.loadOf(u.hash).totalTokens()}
 }
 
 // Merge records rows of other owners; the newer of two rows on an upstream wins.
-func (b *Balancer) Merge(now time.Time, rows []Row) {
+func (b *Balancer) Merge(now time.Time, rows []LoadRow) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range rows {
@@ -155,20 +155,20 @@
 
 // Rows returns up to limit rows on a pool to send to another owner: this host's own, then
 // the newest others.
-func (b *Balancer) Rows(now time.Time, p *Pool, limit int) []Row {
+func (b *Balancer) Rows(now time.Time, p *Pool, limit int) []LoadRow {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	rows := make([]Row, 0, len(p.upstreams))
+	rows := make([]LoadRow, 0, len(p.upstreams))
 	for _, u := range p.upstreams {
 		l := b.loadOf(u.hash)
 		switch {
 		case l.owned:
-			rows = append(rows, Row{Upstream: u.hash, Load: l.totalTokens()})
+			rows = append(rows, LoadRow{Upstream: u.hash, Load: l.totalTokens()})
 		case now.Sub(l.rowTime) <= rowTTL:
-			rows = append(rows, Row{Upstream: u.hash, Load: l.rowTokens, Age: now.Sub(l.rowTime)})
+			rows = append(rows, LoadRow{Upstream: u.hash, Load: l.rowTokens, Age: now.Sub(l.rowTime)})
 		}
 	}
-	slices.SortStableFunc(rows, func(x, y Row) int { return cmp.Compare(x.Age, y.Age) })
+	slices.SortStableFunc(rows, func(x, y LoadRow) int { return cmp.Compare(x.Age, y.Age) })
 	return rows[:min(limit, len(rows))]
 }
 
@@ -215,11 +215,11 @@
 	// MoveCount counts how often the request has been moved.
 	MoveCount int
 	// VisitedRows holds the loads of the upstreams that it was moved away from.
-	VisitedRows []Row
+	VisitedRows []LoadRow
 }
 
 func (c Candidate) visited(u *Upstream) bool {
-	return slices.ContainsFunc(c.VisitedRows, func(r Row) bool { return r.Upstream == u.hash })
+	return slices.ContainsFunc(c.VisitedRows, func(r LoadRow) bool { return r.Upstream == u.hash })
 }
 
 // Place decides whether a request is accepted, is moved to the returned upstream, or
@@ -320,7 +320,7 @@
 	}
 	// A host with a newer list returns a request that was moved to an upstream which has
 	// left; moving it there again would use up its attempts.
-	if now.Sub(m.lastUsed) > moveTTL || slices.ContainsFunc(c.VisitedRows, func(r Row) bool { return r.Gone && r.Upstream == m.upstream }) {
+	if now.Sub(m.lastUsed) > moveTTL || slices.ContainsFunc(c.VisitedRows, func(r LoadRow) bool { return r.Gone && r.Upstream == m.upstream }) {
 		b.moves.Remove(chat)
 		return nil
 	}
