--- a/common/traffic/request.go
+++ b/common/traffic/request.go
@@ -12,15 +12,15 @@
 	Tokens int
 }
 
-// A Request is what a protocol adapter decodes from the head of a client's request.
+// A Request is what a protocol adapter decodes from the head of a caller's request.
 type Request struct {
-	// ID identifies this attempt of the client; a retry by the client has another ID.
+	// ID identifies this attempt of the caller; a retry by the caller has another ID.
 	ID string
-	// Key is the client's API key; empty if there is none.
+	// Key is the caller's API key; empty if there is none.
 	Key string
-	// TimeLeft is the client's timeout; 0 if the request states none.
+	// TimeLeft is the caller's timeout; 0 if the request states none.
 	TimeLeft time.Duration
-	// ResumeAfter is the ID of the last event that the client has of an earlier response; empty for
+	// ResumeAfter is the ID of the last event that the caller has of an earlier response; empty for
 	// none.
 	ResumeAfter  string
 	Model        string
@@ -53,17 +53,17 @@
 	return tokens
 }
 
-// A ForwardMetadata is the metadata that a host adds to a request that it forwards to an upstream.
+// ForwardMetadata is the metadata that a host adds to a request that it forwards to an upstream.
 type ForwardMetadata struct {
 	// Upstream identifies the only incarnation that may execute the request.
 	Upstream string
-	// Workspace is the name of the workspace of the client's key; empty if there was no key.
+	// Workspace is the name of the workspace of the caller's key; empty if there was no key.
 	Workspace string
-	// TimeLeft is the remaining time until the client gives up.
+	// TimeLeft is the remaining time until the caller gives up.
 	TimeLeft time.Duration
 	// Urgency ranges from 0, the most urgent, to 9.
 	Urgency int
-	// ResumeAfter is the ID of the last event delivered to the client; empty for none.
+	// ResumeAfter is the ID of the last event delivered to the caller; empty for none.
 	ResumeAfter string
 	// FetchFrom is the address of another engine that may have a longer prefix of the prompt
 	// cached, to copy it from; empty for none.
@@ -77,12 +77,12 @@
 	Slots   int
 }
 
-// An Response is what a protocol adapter decodes from the head of an upstream's response.
+// A Response is what a protocol adapter decodes from the head of an upstream's response.
 type Response struct {
 	// ID is the ID of the request that the response is for; empty if the response states none.
 	ID string
-	// NotExecuted reports that the upstream did not execute the request and never will, so that it may
-	// be retried.
+	// NotExecuted reports that the upstream did not execute the request and never will, so that it
+	// may be retried.
 	NotExecuted bool
 	// Upstream identifies the responding incarnation; empty if the response states none.
 	Upstream string
@@ -96,8 +96,8 @@
 	// Leaving reports that the upstream drains, which its entry in the platform's list may not say
 	// yet.
 	Leaving bool
-	// Backoff is how long the upstream, which rejected this request, wants no further ones
-	// from this host; 0 if the response states none.
+	// Backoff is how long this host should send no further requests to the upstream, which rejected
+	// this one; 0 if the response states none.
 	Backoff time.Duration
 	// IdleTimeout is how long the upstream keeps an idle connection open; 0 if the response states
 	// none.
--- a/jackdawd/internal/node/services.go
+++ b/jackdawd/internal/node/services.go
@@ -100,9 +100,9 @@
 // claimRouter sends claims to the host that owns their partition, so that few hosts read each
 // partition and concurrent claims share an append.
 type claimRouter struct {
-	view       func() *routing.View
-	partitions *ledger.PartitionManager
-	peerClient *peers.Client
+	currentView func() *routing.View
+	partitions  *ledger.PartitionManager
+	peerClient  *peers.Client
 }
 
 func partitionHash(partition uint64) uint64 {
@@ -141,12 +141,12 @@
 }
 
 func (r *claimRouter) owner(key string) (host routing.EntryHost, local bool) {
-	view := r.view()
+	view := r.currentView()
 	host, ok := view.Owner(partitionHash(ledger.PartitionOf(key)))
 	return host, !ok || host.Name() == view.Self()
 }
 
-func packRows(rows []routing.Row) peers.UpstreamLoads {
+func packRows(rows []routing.LoadRow) peers.UpstreamLoads {
 	out := make([]peers.UpstreamLoad, len(rows))
 	for i, r := range rows {
 		out[i] = peers.UpstreamLoad(r)
@@ -154,11 +154,11 @@
 	return peers.PackLoads(out)
 }
 
-func unpackRows(packed peers.UpstreamLoads) []routing.Row {
+func unpackRows(packed peers.UpstreamLoads) []routing.LoadRow {
 	rows := packed.Unpack()
-	out := make([]routing.Row, len(rows))
+	out := make([]routing.LoadRow, len(rows))
 	for i, r := range rows {
-		out[i] = routing.Row(r)
+		out[i] = routing.LoadRow(r)
 	}
 	return out
 }
