--- a/jackdawd/internal/entry/admin.go
+++ b/jackdawd/internal/entry/admin.go
@@ -37,8 +37,8 @@
 }
 
 func (h *Host) status() report.Status {
-	snapshot := h.members.Snapshot()
-	status := report.Status{Host: h.options.Name, Ready: h.members.Ready() && !h.draining.Load(), ListAge: targets.Duration(h.members.Age().Round(time.Millisecond)), StoreEra: h.source.StoreEra()}
+	snapshot := h.tracker.Snapshot()
+	status := report.Status{Host: h.options.Name, Ready: h.tracker.Ready() && !h.draining.Load(), ListAge: targets.Duration(h.tracker.Age().Round(time.Millisecond)), StoreEra: h.source.StoreEra()}
 	if c := snapshot.Configuration(); c != nil {
 		status.Revision = c.Version()
 	}
@@ -50,8 +50,8 @@
 	return status
 }
 
-// quarantinedRequests returns the requests that are not sent to upstreams because they crash
-// them.
+// quarantinedRequests returns the requests that are no longer sent to upstreams because upstreams
+// crashed while they ran them.
 func (h *Host) quarantinedRequests() []report.QuarantinedRequest {
 	now := time.Now()
 	var requests []report.QuarantinedRequest
@@ -77,7 +77,7 @@
 // explain returns the first candidates for a shared part of a prompt, by descending rendezvous
 // rank, or false if there is no such pool.
 func (h *Host) explain(pool, sharedPart string) (report.Explanation, bool) {
-	upstreams, ok := h.members.Snapshot().ReadyPools()[pool]
+	upstreams, ok := h.tracker.Snapshot().ReadyPools()[pool]
 	if !ok {
 		return report.Explanation{}, false
 	}
--- a/jackdawd/internal/entry/callerconns.go
+++ b/jackdawd/internal/entry/callerconns.go
@@ -12,7 +12,7 @@
 	// idleTimeoutMargin is added to the configured idle timeout, so that a request sent just before
 	// the timeout does not reach a closed connection.
 	idleTimeoutMargin = time.Second
-	// callerSocketRatio is the ratio of a host's sockets that callers' connections may use.
+	// callerSocketRatio is the maximum ratio of callers' connections to a host's sockets.
 	// Connections to upstreams, other hosts and the store need at most a tenth. When no socket is
 	// left, the server stops accepting for up to a second while requests wait unread.
 	callerSocketRatio = 0.75
--- a/jackdawd/internal/entry/gauges.go
+++ b/jackdawd/internal/entry/gauges.go
@@ -16,10 +16,10 @@
 	m.Gauge("requests_in_progress", h.handler.InProgress)
 	m.Gauge("caller_connections", h.conns.count)
 	m.Gauge("upstream_connections_opened", h.client.DialCount)
-	m.Gauge("configuration_age_milliseconds", func() int64 { return min(h.members.Age(), time.Hour).Milliseconds() })
+	m.Gauge("configuration_age_milliseconds", func() int64 { return min(h.tracker.Age(), time.Hour).Milliseconds() })
 	m.Gauge("upstream_list_age_milliseconds", func() int64 { return min(h.source.ListAge(), time.Hour).Milliseconds() })
-	m.Gauge("out_of_touch_milliseconds", func() int64 { return h.members.StaleTime().Milliseconds() })
-	m.Gauge("configuration_late_milliseconds", func() int64 { return h.members.OverAgeTime().Milliseconds() })
+	m.Gauge("out_of_touch_milliseconds", func() int64 { return h.tracker.StaleTime().Milliseconds() })
+	m.Gauge("configuration_late_milliseconds", func() int64 { return h.tracker.OverAgeTime().Milliseconds() })
 	m.Gauge("requests_suspected", func() int64 {
 		suspected, _ := h.quarantine.Counts()
 		return int64(suspected)
@@ -41,13 +41,13 @@
 		return 0
 	})
 	m.Gauge("ready", func() int64 {
-		if h.members.Ready() && !h.draining.Load() {
+		if h.tracker.Ready() && !h.draining.Load() {
 			return 1
 		}
 		return 0
 	})
 	m.Gauge("configuration_version", func() int64 {
-		if c := h.members.Snapshot().Configuration(); c != nil {
+		if c := h.tracker.Snapshot().Configuration(); c != nil {
 			return c.Version()
 		}
 		return 0
@@ -61,7 +61,7 @@
 
 func (h *Host) poolSizes() map[string]int64 {
 	sizes := map[string]int64{}
-	for name, pool := range h.members.Snapshot().ReadyPools() {
+	for name, pool := range h.tracker.Snapshot().ReadyPools() {
 		sizes[name] = int64(len(pool))
 	}
 	return sizes
@@ -71,7 +71,7 @@
 func (h *Host) poolLoadBounds() map[string]int64 {
 	bounds, now := map[string]int64{}, time.Now()
 	plan := h.balancer.LocalPlan(now)
-	for name, pool := range h.members.Snapshot().ReadyPools() {
+	for name, pool := range h.tracker.Snapshot().ReadyPools() {
 		choice := placement.Choice{Loads: h.loads.All(now, pool), LoadMultiple: h.bounds.Load().LoadMultiple, Plan: plan, Pool: name}
 		bounds[name] = int64(choice.Limit())
 	}
@@ -79,7 +79,7 @@
 }
 
 func (h *Host) poolAvoided() map[string]int64 {
-	snapshot := h.members.Snapshot()
+	snapshot := h.tracker.Snapshot()
 	avoided := map[string]int64{}
 	for name, pool := range snapshot.ReadyPools() {
 		for _, u := range pool {
@@ -97,7 +97,7 @@
 func (h *Host) upstreamRequests() map[string]int64 {
 	requests := map[string]int64{}
 	otherRequests, otherCount := int64(0), 0
-	for _, pool := range h.members.Snapshot().ReadyPools() {
+	for _, pool := range h.tracker.Snapshot().ReadyPools() {
 		for _, u := range pool {
 			load := int64(h.loads.Estimate(time.Now(), u))
 			if len(requests) < maxNamedUpstreams {
--- a/jackdawd/internal/entry/host.go
+++ b/jackdawd/internal/entry/host.go
@@ -44,7 +44,7 @@
 // upstreams.
 type Protocol interface {
 	relay.Protocol
-	exchange.HeadParser
+	exchange.ResponseParser
 }
 
 // Options are the parameters and dependencies of a host.
@@ -68,7 +68,7 @@
 	Strength float64
 	// FirstStart is true while the whole system starts for the first time.
 	FirstStart bool
-	// HostRegistry holds the entries that hosts write about themselves.
+	// HostRegistry holds the registrations that hosts write about themselves.
 	HostRegistry fleet.HostRegistry
 	// QuarantineStore holds the notices of requests that crash upstreams.
 	QuarantineStore fleet.QuarantineStore
@@ -88,7 +88,7 @@
 // Bounds are the limits that operators set. They may change while the host runs.
 type Bounds struct {
 	membership.Bounds
-	// GracePeriod is the grace period: how long a stop may take.
+	// GracePeriod is how long a stop may take.
 	GracePeriod time.Duration
 	// RetryRatio is the ratio of retries to requests that all hosts together may send.
 	RetryRatio float64
@@ -102,7 +102,7 @@
 	bounds  atomic.Pointer[Bounds]
 	budgets *relay.RetryBudgets
 	source  *fleet.Source
-	members *membership.Tracker
+	tracker *membership.Tracker
 	client  *exchange.Client
 	// quarantine records which requests crash upstreams.
 	quarantine      *quarantine.Registry
@@ -128,14 +128,14 @@
 		Configurations: o.Configurations, Upstreams: o.Upstreams, Plans: h.balancer, Uptime: uptime, InForce: h.maxConfigurationAge, Decode: o.DecodeConfiguration,
 		Quarantine: h.quarantine, QuarantineStore: o.QuarantineStore,
 	})
-	h.members = membership.NewTracker(membership.Options{
+	h.tracker = membership.NewTracker(membership.Options{
 		Configurations: h.source.Configurations(), Upstreams: h.source.Upstreams(), Uptime: uptime, Bounds: o.Bounds.Bounds,
 	})
-	h.source.Start(h.members)
+	h.source.Start(h.tracker)
 	h.client = exchange.NewClient(o.Protocol, nil)
 	h.budgets = relay.NewRetryBudgets(o.Bounds.RetryRatio)
 	h.handler = relay.NewHandler(relay.Options{
-		Protocol: o.Protocol, Membership: h.members, Client: h.client, Loads: h.loads, Balancer: h.balancer, Warmth: placement.NewCacheLocations(), Turnovers: placement.NewRequestStats(),
+		Protocol: o.Protocol, Membership: h.tracker, Client: h.client, Loads: h.loads, Balancer: h.balancer, Warmth: placement.NewCacheLocations(), Turnovers: placement.NewRequestStats(),
 		RetryBudgets: h.budgets, Admission: admission.NewController(), Quarantine: h.quarantine, Backoffs: relay.NewBackoffs(), Recorder: requestlog.NewWriter(o.RoutineLogger, o.AnomalyLogger, o.Meter),
 		FailureDomain: o.FailureDomain, InSameRegion: o.InSameRegion, MaxTotalBodyBytes: o.MaxTotalBodyBytes, LoadMultiple: h.loadMultiple, HostCount: h.hostCount,
 	})
@@ -162,7 +162,7 @@
 // engines returns the engines that accept new requests, by pool.
 func (h *Host) engines() map[string][]*traffic.Upstream {
 	byPool := map[string][]*traffic.Upstream{}
-	snapshot := h.members.Snapshot()
+	snapshot := h.tracker.Snapshot()
 	configuration := snapshot.Configuration()
 	if configuration == nil {
 		return byPool
@@ -184,7 +184,7 @@
 // SetBounds replaces the bounds.
 func (h *Host) SetBounds(b Bounds) {
 	h.bounds.Store(&b)
-	h.members.SetBounds(b.Bounds)
+	h.tracker.SetBounds(b.Bounds)
 	h.budgets.SetRatio(b.RetryRatio)
 }
 
@@ -211,14 +211,14 @@
 }
 
 func (h *Host) idleTimeout() time.Duration {
-	if c := h.members.Snapshot().Configuration(); c != nil && c.Limits().IdleTimeout > 0 {
+	if c := h.tracker.Snapshot().Configuration(); c != nil && c.Limits().IdleTimeout > 0 {
 		return c.Limits().IdleTimeout
 	}
 	return defaultIdleTimeout
 }
 
 func (h *Host) serveReadiness(w http.ResponseWriter, _ *http.Request) {
-	if h.draining.Load() || !h.members.Ready() {
+	if h.draining.Load() || !h.tracker.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -280,7 +280,7 @@
 	if h.adminServer != nil {
 		errs = append(errs, h.adminServer.Close())
 	}
-	h.members.Close()
+	h.tracker.Close()
 	h.client.Close()
 	return errors.Join(errs...)
 }
--- a/jackdawd/internal/exchange/client.go
+++ b/jackdawd/internal/exchange/client.go
@@ -38,16 +38,16 @@
 	closeInterval = time.Second
 )
 
-// HeadParser parses the headers of responses.
-type HeadParser interface {
-	Answer(status int, h http.Header) traffic.Response
+// A ResponseParser parses the status and headers of responses.
+type ResponseParser interface {
+	ParseResponse(status int, h http.Header) traffic.Response
 }
 
 // A Request is one request to one upstream.
 type Request struct {
 	Address string
-	// Upstream is the start of the upstream that is to run the request. Connections to an earlier
-	// start at the same address are not used.
+	// Upstream is the instance of the upstream that is to run the request. Connections to an earlier
+	// instance at the same address are not used.
 	Upstream traffic.UpstreamInstance
 	// ID is the request identifier that the response must carry.
 	ID     string
@@ -72,9 +72,9 @@
 
 // A Client sends requests to upstreams and pools connections. It is safe for concurrent use.
 type Client struct {
-	heads HeadParser
-	dial  func(ctx context.Context, network, address string) (net.Conn, error)
-	mu    sync.Mutex
+	parser ResponseParser
+	dial   func(ctx context.Context, network, address string) (net.Conn, error)
+	mu     sync.Mutex
 	// idle holds the idle connections and open counts all connections, by address.
 	idle   map[string][]*conn
 	open   map[string]int
@@ -82,13 +82,13 @@
 	stop   chan struct{}
 }
 
-// NewClient returns a client that parses headers with heads and connects with dial, or over TCP if
-// it is nil.
-func NewClient(heads HeadParser, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
+// NewClient returns a client that parses responses with parser and connects with dial, or over TCP
+// if it is nil.
+func NewClient(parser ResponseParser, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	if dial == nil {
 		dial = newDialer().DialContext
 	}
-	c := &Client{heads: heads, dial: dial, idle: map[string][]*conn{}, open: map[string]int{}, stop: make(chan struct{})}
+	c := &Client{parser: parser, dial: dial, idle: map[string][]*conn{}, open: map[string]int{}, stop: make(chan struct{})}
 	go func() {
 		ticker := time.NewTicker(closeInterval)
 		defer ticker.Stop()
@@ -127,13 +127,13 @@
 
 // Do sends a request and reads the header of its response, which the caller must close. An error is
 // a *NotSentError, an *InterruptedError or a *MismatchError.
-func (c *Client) Do(ctx context.Context, call Request) (*Response, error) {
+func (c *Client) Do(ctx context.Context, req Request) (*Response, error) {
 	for {
-		cn, err := c.acquire(ctx, call)
+		cn, err := c.acquire(ctx, req)
 		if err != nil {
 			return nil, &NotSentError{Cause: err}
 		}
-		resp, err := c.send(ctx, cn, call)
+		resp, err := c.send(ctx, cn, req)
 		var notSent *NotSentError
 		if errors.As(err, &notSent) && cn.used && ctx.Err() == nil {
 			// The pooled connection was closed before any byte was written.
@@ -144,60 +144,60 @@
 }
 
 // acquire returns a pooled connection that the request may use, or a new one.
-func (c *Client) acquire(ctx context.Context, call Request) (*conn, error) {
+func (c *Client) acquire(ctx context.Context, req Request) (*conn, error) {
 	for {
-		cn := c.popIdle(call)
+		cn := c.popIdle(req)
 		if cn == nil {
 			break
 		}
-		// On a connection to an earlier start, unsent data of that start could be taken for the
-		// response, and a request written to it may or may not arrive.
-		if cn.upstream == call.Upstream && cn.reusable() {
+		// On a connection to an earlier instance, unsent data of that instance could be taken for
+		// the response, and a request written to it may or may not arrive.
+		if cn.upstream == req.Upstream && cn.reusable() {
 			return cn, nil
 		}
 		c.discard(cn)
 	}
-	if err := c.reserve(call); err != nil {
+	if err := c.reserve(req); err != nil {
 		return nil, err
 	}
-	raw, err := c.dial(ctx, "tcp", call.Address)
+	raw, err := c.dial(ctx, "tcp", req.Address)
 	if err != nil {
 		c.mu.Lock()
-		c.release(call.Address)
+		c.release(req.Address)
 		c.mu.Unlock()
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), address: call.Address, upstream: call.Upstream}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), address: req.Address, upstream: req.Upstream}, nil
 }
 
-// reserve counts one connection more, or returns an error if the call's limit is reached.
-func (c *Client) reserve(call Request) error {
+// reserve counts one connection more, or returns an error if the request's limit is reached.
+func (c *Client) reserve(req Request) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if call.MaxConnections > 0 && c.open[call.Address] >= call.MaxConnections {
+	if req.MaxConnections > 0 && c.open[req.Address] >= req.MaxConnections {
 		return ErrTooManyConnections
 	}
-	c.open[call.Address]++
+	c.open[req.Address]++
 	c.dialed++
 	return nil
 }
 
 // popIdle takes the most recently used connection from the pool; nil if it has been idle for too
 // long.
-func (c *Client) popIdle(call Request) *conn {
+func (c *Client) popIdle(req Request) *conn {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	idle := c.idle[call.Address]
+	idle := c.idle[req.Address]
 	if len(idle) == 0 {
 		return nil
 	}
 	cn := idle[len(idle)-1]
 	idleTime := now.Sub(cn.idleSince)
-	if idleTime > cn.maxIdle || (call.MaxIdleTime > 0 && idleTime > call.MaxIdleTime) {
+	if idleTime > cn.maxIdle || (req.MaxIdleTime > 0 && idleTime > req.MaxIdleTime) {
 		return nil
 	}
-	c.idle[call.Address] = idle[:len(idle)-1]
+	c.idle[req.Address] = idle[:len(idle)-1]
 	return cn
 }
 
@@ -256,13 +256,13 @@
 }
 
 // send writes the request and reads the header of its response.
-func (c *Client) send(ctx context.Context, cn *conn, call Request) (*Response, error) {
+func (c *Client) send(ctx context.Context, cn *conn, req Request) (*Response, error) {
 	// When the caller cancels, the upstream must stop working at once; closing the connection is
 	// what tells it.
 	stopCancel := context.AfterFunc(ctx, func() { _ = cn.Close() })
-	r := &Response{client: c, conn: cn, call: call, stopCancel: stopCancel}
-	request := encodeRequest(call)
-	if err := r.writeRequest(request); err != nil {
+	r := &Response{client: c, conn: cn, request: req, stopCancel: stopCancel}
+	encoded := encodeRequest(req)
+	if err := r.writeRequest(encoded); err != nil {
 		r.Close()
 		return nil, err
 	}
@@ -274,18 +274,18 @@
 }
 
 // encodeRequest returns the header of the request, and the body if it is short.
-func encodeRequest(call Request) []byte {
+func encodeRequest(req Request) []byte {
 	var b bytes.Buffer
 	b.Grow(1 << 10)
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", call.Method, call.Target, call.Host)
-	if len(call.Body) > 0 || (call.Method != http.MethodGet && call.Method != http.MethodHead) {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(call.Body)) + "\r\n")
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", req.Method, req.Target, req.Host)
+	if len(req.Body) > 0 || (req.Method != http.MethodGet && req.Method != http.MethodHead) {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n")
 	}
 	// Writing to a buffer cannot fail.
-	_ = call.Header.Write(&b)
+	_ = req.Header.Write(&b)
 	b.WriteString("\r\n")
-	if len(call.Body) <= concurrentWriteThreshold {
-		b.Write(call.Body)
+	if len(req.Body) <= concurrentWriteThreshold {
+		b.Write(req.Body)
 	}
 	return b.Bytes()
 }
--- a/jackdawd/internal/exchange/conn.go
+++ b/jackdawd/internal/exchange/conn.go
@@ -30,7 +30,7 @@
 	net.Conn
 	reader  *bufio.Reader
 	address string
-	// upstream is the start of the upstream to which the connection was opened.
+	// upstream is the instance of the upstream to which the connection was opened.
 	upstream traffic.UpstreamInstance
 	// used is set once the connection has served a request.
 	used bool
--- a/jackdawd/internal/exchange/errors.go
+++ b/jackdawd/internal/exchange/errors.go
@@ -7,10 +7,11 @@
 	"syscall"
 )
 
-// ErrTooManyConnections means that the limit of connections to the upstream is reached; nothing was sent.
+// ErrTooManyConnections means that the limit of connections to the upstream is reached; nothing was
+// sent.
 var ErrTooManyConnections = errors.New("too many connections to the upstream")
 
-// ErrReadTimeout means that the upstream sent nothing within the time allowed.
+// ErrReadTimeout means that the upstream sent nothing within the read timeout.
 var ErrReadTimeout = errors.New("upstream sent no data within the read timeout")
 
 // A NotSentError means that nothing of the request has left this host.
@@ -36,8 +37,8 @@
 // Unwrap returns the cause.
 func (e *InterruptedError) Unwrap() error { return e.Cause }
 
-// ClosedByPeer reports whether an error means that the upstream closed the connection, as it does when its
-// process ends. A timeout or a response to another request is not one.
+// ClosedByPeer reports whether an error means that the upstream closed the connection, as it does
+// when its process ends. It is false for a timeout and for a response to another request.
 func ClosedByPeer(err error) bool {
 	for _, closed := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, closed) {
--- a/jackdawd/internal/exchange/response.go
+++ b/jackdawd/internal/exchange/response.go
@@ -10,11 +10,11 @@
 	"jackdawhinge/common/traffic"
 )
 
-// An Response is an upstream's response whose header has been read.
+// A Response is an upstream's response whose header has been read.
 type Response struct {
-	client *Client
-	conn   *conn
-	call   Request
+	client  *Client
+	conn    *conn
+	request Request
 	// stopCancel stops the closing of the connection on cancellation; false if that has begun.
 	stopCancel func() bool
 	head       traffic.Response
@@ -46,28 +46,28 @@
 // Buffered reports whether more of the response has already arrived.
 func (r *Response) Buffered() bool { return r.conn.reader.Buffered() > 0 }
 
-// writeRequest writes the request; a long body is written while the response is awaited.
-func (r *Response) writeRequest(request []byte) error {
-	n, err := r.conn.Write(request)
+// writeRequest writes the encoded request; a long body is written while the response is awaited.
+func (r *Response) writeRequest(encoded []byte) error {
+	n, err := r.conn.Write(encoded)
 	if err != nil && n == 0 {
 		return &NotSentError{Cause: err}
 	}
 	if err != nil {
 		return &InterruptedError{Cause: err}
 	}
-	if len(r.call.Body) <= concurrentWriteThreshold {
+	if len(r.request.Body) <= concurrentWriteThreshold {
 		return nil
 	}
 	r.bodyWritten = make(chan struct{})
 	go func() {
 		defer close(r.bodyWritten)
-		_, r.writeErr = r.conn.Write(r.call.Body)
+		_, r.writeErr = r.conn.Write(r.request.Body)
 	}()
 	return nil
 }
 
 func (r *Response) readHead() error {
-	if err := r.awaitData(r.call.HeaderTimeout); err != nil {
+	if err := r.awaitData(r.request.HeaderTimeout); err != nil {
 		return &InterruptedError{Cause: translateReadError(err)}
 	}
 	for range maxStaleResponses + 1 {
@@ -75,27 +75,27 @@
 		if err != nil {
 			return &InterruptedError{Cause: translateReadError(err)}
 		}
-		r.resp, r.head = resp, r.client.heads.Answer(resp.StatusCode, resp.Header)
-		if r.head.ID == r.call.ID || (r.head.ID == "" && r.head.NotExecuted) {
+		r.resp, r.head = resp, r.client.parser.ParseResponse(resp.StatusCode, resp.Header)
+		if r.head.ID == r.request.ID || (r.head.ID == "" && r.head.NotExecuted) {
 			// The header timeout must not cut off a long body.
 			r.setReadDeadline(0)
 			return nil
 		}
 		if !r.conn.used {
-			return &MismatchError{Want: r.call.ID, Got: r.head.ID}
+			return &MismatchError{Want: r.request.ID, Got: r.head.ID}
 		}
 		// This is a second response to an earlier request on the connection; skip it.
 		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStaleBodyBytes)); err != nil {
 			return &InterruptedError{Cause: translateReadError(err)}
 		}
 	}
-	return &MismatchError{Want: r.call.ID, Got: r.head.ID}
+	return &MismatchError{Want: r.request.ID, Got: r.head.ID}
 }
 
 // readResponse reads the header of the next response that is not an interim (1xx) one.
 func (r *Response) readResponse() (*http.Response, error) {
 	for {
-		resp, err := http.ReadResponse(r.conn.reader, &http.Request{Method: r.call.Method})
+		resp, err := http.ReadResponse(r.conn.reader, &http.Request{Method: r.request.Method})
 		if err != nil {
 			return nil, err
 		}
@@ -136,7 +136,7 @@
 			// end here.
 			r.setReadDeadline(d)
 			return nil
-		case r.call.AbortOnTimeout == nil || r.call.AbortOnTimeout():
+		case r.request.AbortOnTimeout == nil || r.request.AbortOnTimeout():
 			return err
 		}
 	}
--- a/jackdawd/internal/membership/doc.go
+++ b/jackdawd/internal/membership/doc.go
@@ -6,8 +6,8 @@
 // publishes immutable snapshots. The relay reads these for each request; the fleet package sends
 // the changes on to the hosts that follow this one.
 //
-// A start (traffic.Start) is one run of an upstream's process; what was observed of one start says
-// nothing of the next. An upstream that leaves drains: it finishes its requests and gets no new
-// ones. A host follows another one when it gets configuration and upstreams from it and not from
-// the store.
+// An instance (traffic.UpstreamInstance) is one run of an upstream's process; what was observed of
+// one instance says nothing of the next. An upstream that leaves drains: it finishes its requests
+// and gets no new ones. A host follows another one when it gets configuration and upstreams from it
+// and not from the store.
 package membership
--- a/jackdawd/internal/membership/poll.go
+++ b/jackdawd/internal/membership/poll.go
@@ -17,7 +17,7 @@
 	unavailable := false
 	for ctx.Err() == nil {
 		sent := t.options.Uptime()
-		c, behind, err := t.options.Configurations.Next(ctx, wait)
+		c, sourceAge, err := t.options.Configurations.Next(ctx, wait)
 		if ctx.Err() != nil {
 			return
 		}
@@ -34,13 +34,13 @@
 		}
 		unavailable, wait, retry = false, t.pollWait(), 0
 		if c == nil {
-			t.confirm(sent - behind)
+			t.confirm(sent - sourceAge)
 			continue
 		}
 		t.enqueue(ctx, func(s *state) {
-			t.applyConfiguration(s, c, t.options.Uptime()-sent+behind)
+			t.applyConfiguration(s, c, t.options.Uptime()-sent+sourceAge)
 			// The configuration counts as confirmed only once it is in force.
-			t.confirm(sent - behind)
+			t.confirm(sent - sourceAge)
 		})
 	}
 }
@@ -72,7 +72,7 @@
 
 // pollUpstreams reads the list of upstreams until the context ends.
 func (t *Tracker) pollUpstreams(ctx context.Context) {
-	var recovered time.Time
+	var recoveredAt time.Time
 	var retry time.Duration
 	lastRead := time.Now()
 	unavailable := false
@@ -92,15 +92,15 @@
 		if unavailable {
 			unavailable = false
 			if time.Since(lastRead) > t.bounds.Load().EntryTTL {
-				recovered = time.Now()
+				recoveredAt = time.Now()
 			}
 			logrus.Info("membership: Reading the list of upstreams succeeds again.")
 		}
 		if change.Restored {
-			recovered = time.Now()
+			recoveredAt = time.Now()
 		}
 		retry, lastRead = 0, time.Now()
-		graceEnd := recovered.Add(expiryGracePeriod)
+		graceEnd := recoveredAt.Add(expiryGracePeriod)
 		t.enqueueAndWait(ctx, func(s *state) { t.applyUpstreamChange(s, change, graceEnd) })
 	}
 }
--- a/jackdawd/internal/membership/snapshot.go
+++ b/jackdawd/internal/membership/snapshot.go
@@ -28,7 +28,8 @@
 // UpstreamsKnown reports whether the list of upstreams has been read.
 func (s *Snapshot) UpstreamsKnown() bool { return s.upstreamsKnown }
 
-// ReadyUpstreams returns a pool's ready upstreams, sorted by identifier; the slice must not be changed.
+// ReadyUpstreams returns a pool's ready upstreams, sorted by identifier; the slice must not be
+// changed.
 func (s *Snapshot) ReadyUpstreams(pool string) []*traffic.Upstream { return s.ready[pool] }
 
 // ReadyPools returns the ready upstreams by pool; the map must not be changed.
@@ -46,11 +47,11 @@
 	return u, ok
 }
 
-// AllUpstreams returns a pool's upstreams, ready or leaving, sorted by identifier; the slice must not be
-// changed.
+// AllUpstreams returns a pool's upstreams, ready or leaving, sorted by identifier; the slice must
+// not be changed.
 func (s *Snapshot) AllUpstreams(pool string) []*traffic.Upstream { return s.all[pool] }
 
-// FirstSeen returns when this host first saw the current start of an upstream, or the zero time.
+// FirstSeen returns when this host first saw the current instance of an upstream, or the zero time.
 func (s *Snapshot) FirstSeen(id string) time.Time { return s.firstSeen[id] }
 
 // Avoided reports whether an upstream is to be avoided because this host's requests to it fail.
--- a/jackdawd/internal/membership/state.go
+++ b/jackdawd/internal/membership/state.go
@@ -19,21 +19,21 @@
 	upstreams map[string]traffic.Upstream
 	// upstreamsKnown is set once the list of upstreams has been read.
 	upstreamsKnown bool
-	// firstSeen holds when this host first saw the current start of each upstream.
+	// firstSeen holds when this host first saw the current instance of each upstream.
 	firstSeen map[string]time.Time
 	// newestVersions holds the version of each upstream's newest entry, also for removed upstreams.
 	newestVersions map[string]entryVersion
 	// removeAt holds when each upstream that is no longer listed is to be removed; zero means at
 	// once.
 	removeAt map[string]time.Time
-	evidence *control.OutlierDetector
+	outliers *control.OutlierDetector
 	avoided  map[string]bool
 	leaving  *leavingSet
 	changes  changeLog
 }
 
-// entryVersion orders the entries of one upstream: by start, then by the sequence number, which
-// each start counts anew.
+// entryVersion orders the entries of one upstream: by incarnation, then by the sequence number,
+// which begins anew with each incarnation.
 type entryVersion struct {
 	incarnation traffic.Incarnation
 	sequence    int64
@@ -47,10 +47,10 @@
 	return cmp.Or(cmp.Compare(v.incarnation, other.incarnation), cmp.Compare(v.sequence, other.sequence))
 }
 
-// restartedSince reports whether the upstream now runs as another start than the given one.
-func (s *state) restartedSince(start traffic.UpstreamInstance) bool {
-	u, ok := s.upstreams[start.ID]
-	return ok && u.Incarnation != start.Incarnation
+// restartedSince reports whether the upstream now runs as another instance than the given one.
+func (s *state) restartedSince(instance traffic.UpstreamInstance) bool {
+	u, ok := s.upstreams[instance.ID]
+	return ok && u.Incarnation != instance.Incarnation
 }
 
 // applyUpstreamChange applies a change of the upstream list. Upstreams whose entries have expired
@@ -146,8 +146,8 @@
 func (s *state) applyEntry(u traffic.Upstream) bool {
 	newest, seen := s.newestVersions[u.ID]
 	if u.Incarnation == 0 && newest.incarnation != 0 {
-		// An upstream that reports its start always does, so another writer has overwritten the
-		// entry, and its address may not be the upstream's.
+		// An upstream that reports its incarnation always does, so another writer has overwritten
+		// the entry, and its address may not be the upstream's.
 		s.removeAt[u.ID] = time.Time{}
 		return false
 	}
@@ -180,8 +180,8 @@
 		s.firstSeen[u.ID] = time.Now()
 	}
 	if restarted {
-		// Failures before the restart say nothing of the new start.
-		s.evidence.Remove(u.ID)
+		// Failures before the restart say nothing of the new instance.
+		s.outliers.Remove(u.ID)
 		logrus.WithField("upstream", u.ID).Info("membership: Upstream restarted.")
 	}
 	old.Sequence = u.Sequence
@@ -217,7 +217,7 @@
 	for id := range s.upstreams {
 		listed[id] = true
 	}
-	s.evidence.RetainListed(listed)
+	s.outliers.RetainListed(listed)
 	s.pruneVersions()
 	t.publish(s)
 	return true
--- a/jackdawd/internal/membership/tracker.go
+++ b/jackdawd/internal/membership/tracker.go
@@ -16,14 +16,14 @@
 const (
 	// maxPollWait bounds how long one read of the configuration waits for a change.
 	maxPollWait = 10 * time.Second
-	// pollWaitRatio is the share of the revocation bound that such a read may wait. With 0.3 a lost
-	// read can time out and another one be answered before keys are no longer honored.
+	// pollWaitRatio is the maximum ratio of such a wait to the revocation bound. With 0.3 a lost read
+	// can time out and another one be answered before keys are no longer honored.
 	pollWaitRatio = 0.3
 	// revocationMargin is how long before the revocation bound keys are no longer honored. It covers
 	// the time from a request's arrival until it is forwarded.
 	revocationMargin = 200 * time.Millisecond
-	// listIntervalRatio is the share of the drain bound after which the upstreams are read again.
-	// The rest is for the read itself and for requests that are on their way.
+	// listIntervalRatio is the ratio of the interval between reads of the upstreams to the drain
+	// bound. The rest of the bound is for the read itself and for requests that are on their way.
 	listIntervalRatio = 0.75
 	// minRetryInterval is the interval after a first failed read. It doubles with each further one
 	// up to maxRetryInterval and has a jitter of up to half of it: calls cost money also while the
@@ -35,14 +35,14 @@
 	// expiryGracePeriod is how long after the store's return upstreams are kept whose entries
 	// expired during the outage. Running upstreams have written their entries again by then.
 	expiryGracePeriod = 2 * time.Second
-	// minExpiredRatio is the share of a pool that must be missing for its entries to count as
-	// expired. It is above a third: a host that was partitioned for 12 s, while a release replaced
-	// 7 of 18 engines and three crashed, found a third missing.
+	// minExpiredRatio is the minimum ratio of missing upstreams to all of a pool for its entries to
+	// count as expired. It is above a third: a host that was partitioned for 12 s, while a release
+	// replaced 7 of 18 engines and three crashed, found a third missing.
 	minExpiredRatio = 0.5
 	// tickInterval is how often state that depends on time is updated.
 	tickInterval = 250 * time.Millisecond
-	// minRemovedVersions is how many removed upstreams are at least remembered before any is
-	// dropped.
+	// minRemovedVersions is the minimum number of removed upstreams whose entry versions are kept
+	// before any is dropped.
 	minRemovedVersions = 1000
 	// inputQueueSize bounds the inputs that wait for the control goroutine.
 	inputQueueSize = 256
@@ -51,15 +51,15 @@
 // ConfigurationSource is a source of the configuration: the store or another host.
 type ConfigurationSource interface {
 	// Next waits up to wait for a newer configuration and returns it, or nil if there is none. The
-	// result was the latest at the time of the call less behind.
-	Next(ctx context.Context, wait time.Duration) (c *traffic.Configuration, behind time.Duration, err error)
+	// result is known to have been the latest sourceAge before the call.
+	Next(ctx context.Context, wait time.Duration) (c *traffic.Configuration, sourceAge time.Duration, err error)
 }
 
 // UpstreamSource is a source of the list of upstreams: the store or another host.
 type UpstreamSource interface {
-	// Next waits up to pace for a change and returns it. A call means that the result of the call
+	// Next waits up to wait for a change and returns it. A call means that the result of the call
 	// before has been applied.
-	Next(ctx context.Context, pace time.Duration) (traffic.UpstreamChange, error)
+	Next(ctx context.Context, wait time.Duration) (traffic.UpstreamChange, error)
 }
 
 // Options hold the sources and settings of the membership.
@@ -97,9 +97,9 @@
 	// overAgeTotal is how long in all the configuration may have been older than allowed.
 	overAgeTotal atomic.Int64
 	changes      atomic.Pointer[Changes]
-	// scores are this host's failure scores of upstreams, by the short hash of their starts.
+	// scores are this host's failure scores of upstreams, by the short hash of their instances.
 	scores atomic.Pointer[map[uint32]float64]
-	// leaving holds the starts of upstreams that announced in a response that they leave.
+	// leaving holds the instances of upstreams that announced in a response that they leave.
 	leaving *leavingSet
 	inputs  chan func(*state)
 	cancel  context.CancelFunc
@@ -109,13 +109,13 @@
 // neverConfirmed is the value of confirmedAt before the first answered read.
 const neverConfirmed = -1 << 62
 
-// NewTracker starts to poll the sources and returns without waiting for them.
+// NewTracker starts polling the sources and returns without waiting for them.
 func NewTracker(o Options) *Tracker {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Tracker{options: o, leaving: &leavingSet{addedAt: map[traffic.UpstreamInstance]time.Time{}}, inputs: make(chan func(*state), inputQueueSize), cancel: cancel}
 	t.confirmedAt.Store(neverConfirmed)
 	t.SetBounds(o.Bounds)
-	s := &state{changes: newChangeLog(), upstreams: map[string]traffic.Upstream{}, removeAt: map[string]time.Time{}, firstSeen: map[string]time.Time{}, newestVersions: map[string]entryVersion{}, evidence: control.NewOutlierDetector(), leaving: t.leaving}
+	s := &state{changes: newChangeLog(), upstreams: map[string]traffic.Upstream{}, removeAt: map[string]time.Time{}, firstSeen: map[string]time.Time{}, newestVersions: map[string]entryVersion{}, outliers: control.NewOutlierDetector(), leaving: t.leaving}
 	t.publish(s)
 	t.wg.Go(func() { t.run(ctx, s) })
 	t.wg.Go(func() { t.pollConfiguration(ctx) })
@@ -170,14 +170,14 @@
 
 // Observe records how a request to an upstream went. It never blocks: the observation is dropped if
 // the input queue is full.
-func (t *Tracker) Observe(start traffic.UpstreamInstance, outcome control.Result) {
+func (t *Tracker) Observe(instance traffic.UpstreamInstance, result control.Result) {
 	select {
 	case t.inputs <- func(s *state) {
-		if s.restartedSince(start) {
-			// A request that its upstream's restart cut off says nothing of the new start.
+		if s.restartedSince(instance) {
+			// A request that its upstream's restart cut off says nothing of the new instance.
 			return
 		}
-		if s.evidence.Observe(time.Now(), start.ID, outcome) {
+		if s.outliers.Observe(time.Now(), instance.ID, result) {
 			t.publishIfAvoidedChanged(s)
 		}
 	}:
@@ -188,7 +188,7 @@
 // publishScores publishes this host's failure scores of the listed upstreams.
 func (t *Tracker) publishScores(s *state) {
 	scores := map[uint32]float64{}
-	for id, score := range s.evidence.Scores(time.Now()) {
+	for id, score := range s.outliers.Scores(time.Now()) {
 		if u, ok := s.upstreams[id]; ok {
 			scores[u.ShortHash()] = score
 		}
@@ -196,7 +196,7 @@
 	t.scores.Store(&scores)
 }
 
-// Scores returns this host's failure scores of upstreams, by the short hash of their starts.
+// Scores returns this host's failure scores of upstreams, by the short hash of their instances.
 func (t *Tracker) Scores() map[uint32]float64 {
 	if scores := t.scores.Load(); scores != nil {
 		return *scores
@@ -204,8 +204,8 @@
 	return nil
 }
 
-// SetPeerScores replaces the sums of all other hosts' failure scores. It never blocks: the scores are
-// dropped if the input queue is full, as they are sent again.
+// SetPeerScores replaces the sums of all other hosts' failure scores. It never blocks: the scores
+// are dropped if the input queue is full, as they are sent again.
 func (t *Tracker) SetPeerScores(others map[uint32]float64) {
 	select {
 	case t.inputs <- func(s *state) {
@@ -215,20 +215,20 @@
 				scores[id] = score
 			}
 		}
-		s.evidence.SetPeerScores(scores)
+		s.outliers.SetPeerScores(scores)
 	}:
 	default:
 	}
 }
 
-// RemoveReplaced removes an upstream because another one answers at its address. It never blocks: the call has
-// no effect if the input queue is full.
-func (t *Tracker) RemoveReplaced(start traffic.UpstreamInstance) {
+// RemoveReplaced removes an upstream because another one answers at its address. It never blocks:
+// the call has no effect if the input queue is full.
+func (t *Tracker) RemoveReplaced(instance traffic.UpstreamInstance) {
 	select {
 	case t.inputs <- func(s *state) {
-		if _, ok := s.upstreams[start.ID]; ok && !s.restartedSince(start) {
-			s.remove(start.ID)
-			logrus.WithField("upstream", start.ID).Info("membership: Upstream removed because another one answers at its address.")
+		if _, ok := s.upstreams[instance.ID]; ok && !s.restartedSince(instance) {
+			s.remove(instance.ID)
+			logrus.WithField("upstream", instance.ID).Info("membership: Upstream removed because another one answers at its address.")
 			t.publish(s)
 		}
 	}:
@@ -236,13 +236,13 @@
 	}
 }
 
-// MarkLeaving records that an upstream announced in a response that it leaves. It never blocks: if the
-// input queue is full, the next tick applies the announcement.
-func (t *Tracker) MarkLeaving(start traffic.UpstreamInstance) {
-	if !t.leaving.add(time.Now(), start) {
+// MarkLeaving records that an upstream announced in a response that it leaves. It never blocks: if
+// the input queue is full, the next tick applies the announcement.
+func (t *Tracker) MarkLeaving(instance traffic.UpstreamInstance) {
+	if !t.leaving.add(time.Now(), instance) {
 		return
 	}
-	logrus.WithField("upstream", start.ID).Info("membership: Upstream announced in a response that it leaves.")
+	logrus.WithField("upstream", instance.ID).Info("membership: Upstream announced in a response that it leaves.")
 	select {
 	case t.inputs <- t.applyLeaving:
 	default:
@@ -310,8 +310,8 @@
 	logrus.WithField("age", age.String()).Info("membership: The configuration is known in time again.")
 }
 
-// enqueueAndWait enqueues an input and waits until it has been applied: to a source its next call
-// means so.
+// enqueueAndWait enqueues an input and waits until it has been applied, as the next call of
+// UpstreamSource.Next must be made only then.
 func (t *Tracker) enqueueAndWait(ctx context.Context, input func(*state)) {
 	done := make(chan struct{})
 	t.enqueue(ctx, func(s *state) {
@@ -347,7 +347,7 @@
 	}
 	avoided := map[string]bool{}
 	for _, pool := range pools {
-		maps.Copy(avoided, s.evidence.Avoided(time.Now(), pool))
+		maps.Copy(avoided, s.outliers.Avoided(time.Now(), pool))
 	}
 	return avoided
 }
--- a/jackdawd/internal/quarantine/notice.go
+++ b/jackdawd/internal/quarantine/notice.go
@@ -14,8 +14,8 @@
 
 // A CrashNotice is the stored form of a CrashRecord.
 type CrashNotice struct {
-	// Start is the short hash of the upstream's start.
-	Start uint32 `json:"upstream-start"`
+	// Instance is the short hash of the upstream's instance.
+	Instance uint32 `json:"upstream-start"`
 	// SentAt is when the request was sent to the upstream, CrashedAt when the upstream crashed.
 	SentAt    time.Time `json:"from"`
 	CrashedAt time.Time `json:"at"`
@@ -37,7 +37,7 @@
 func (r Record) Notice(now time.Time) Notice {
 	var n Notice
 	for _, c := range r.Crashes {
-		n.Crashes = append(n.Crashes, CrashNotice{Start: c.Start, SentAt: now.Add(-c.Age - c.Ran).UTC(), CrashedAt: now.Add(-c.Age).UTC()})
+		n.Crashes = append(n.Crashes, CrashNotice{Instance: c.Start, SentAt: now.Add(-c.Age - c.Ran).UTC(), CrashedAt: now.Add(-c.Age).UTC()})
 	}
 	return n
 }
@@ -59,7 +59,7 @@
 	}
 	r := Record{Request: f}
 	for _, c := range n.Crashes {
-		r.Crashes = append(r.Crashes, CrashRecord{Start: c.Start, Age: now.Sub(c.CrashedAt), Ran: c.CrashedAt.Sub(c.SentAt)})
+		r.Crashes = append(r.Crashes, CrashRecord{Start: c.Instance, Age: now.Sub(c.CrashedAt), Ran: c.CrashedAt.Sub(c.SentAt)})
 	}
 	return r, nil
 }
--- a/jackdawd/internal/quarantine/record.go
+++ b/jackdawd/internal/quarantine/record.go
@@ -7,15 +7,14 @@
 type Record struct {
 	Request Fingerprint
 	Crashes []CrashRecord
-	// Answered is set if an upstream has responded to the request, AnsweredAge is how long ago it
-	// did.
+	// Answered is set if an upstream has responded to the request, AnsweredAge is how long ago.
 	Answered    bool
 	AnsweredAge time.Duration
 }
 
 // A CrashRecord is the crash of one upstream during a request.
 type CrashRecord struct {
-	// Start is the short hash of the upstream's start.
+	// Start is the short hash of the upstream's instance.
 	Start uint32
 	// Age is how long ago the upstream crashed, Ran how long it had the request until then.
 	Age time.Duration
@@ -24,13 +23,13 @@
 
 func (r CrashRecord) crash(now time.Time) crash {
 	crashedAt := now.Add(-max(r.Age, 0))
-	return crash{start: r.Start, sentAt: crashedAt.Add(-max(r.Ran, 0)), crashedAt: crashedAt}
+	return crash{instance: r.Start, sentAt: crashedAt.Add(-max(r.Ran, 0)), crashedAt: crashedAt}
 }
 
 func (s *suspect) record(now time.Time, f Fingerprint) Record {
 	r := Record{Request: f}
 	for _, c := range s.crashes {
-		r.Crashes = append(r.Crashes, CrashRecord{Start: c.start, Age: now.Sub(c.crashedAt), Ran: c.crashedAt.Sub(c.sentAt)})
+		r.Crashes = append(r.Crashes, CrashRecord{Start: c.instance, Age: now.Sub(c.crashedAt), Ran: c.crashedAt.Sub(c.sentAt)})
 	}
 	if !s.answeredAt.IsZero() {
 		r.Answered, r.AnsweredAge = true, now.Sub(s.answeredAt)
--- a/jackdawd/internal/quarantine/registry.go
+++ b/jackdawd/internal/quarantine/registry.go
@@ -56,7 +56,7 @@
 // Empty reports whether there are no suspects.
 func (r *Registry) Empty() bool { return r.count.Load() == 0 }
 
-// Quarantined reports whether a request is quarantined, and for how long still.
+// Quarantined reports whether a request is quarantined, and for how much longer.
 func (r *Registry) Quarantined(now time.Time, f Fingerprint) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,10 +68,10 @@
 	return left, left > 0
 }
 
-// RecordCrash records that an upstream, identified by the short hash of its start, crashed after it had
-// had the request for ran.
-func (r *Registry) RecordCrash(now time.Time, f Fingerprint, start uint32, ran time.Duration) {
-	r.Merge(now, []Record{{Request: f, Crashes: []CrashRecord{{Start: start, Ran: ran}}}})
+// RecordCrash records that an upstream, identified by the short hash of its instance, crashed after
+// it had had the request for ran.
+func (r *Registry) RecordCrash(now time.Time, f Fingerprint, instance uint32, ran time.Duration) {
+	r.Merge(now, []Record{{Request: f, Crashes: []CrashRecord{{Start: instance, Ran: ran}}}})
 }
 
 // RecordResponse records that an upstream ran a request and responded.
--- a/jackdawd/internal/quarantine/suspect.go
+++ b/jackdawd/internal/quarantine/suspect.go
@@ -22,8 +22,8 @@
 
 // crash is the crash of one upstream during a request.
 type crash struct {
-	// start is the short hash of the upstream's start.
-	start uint32
+	// instance is the short hash of the upstream's instance.
+	instance uint32
 	// sentAt is when the request was sent to the upstream, crashedAt when the upstream crashed.
 	sentAt, crashedAt time.Time
 }
@@ -57,7 +57,7 @@
 		return false
 	}
 	for _, known := range s.crashes {
-		if known.start == added.start || !known.endedBefore(added) && !added.endedBefore(known) {
+		if known.instance == added.instance || !known.endedBefore(added) && !added.endedBefore(known) {
 			return false
 		}
 	}
