--- a/jackdawd/internal/telemetry/logwriter_test.go
+++ b/jackdawd/internal/telemetry/logwriter_test.go
@@ -29,7 +29,8 @@
 }
 
 // Guards against callers that block because nobody reads the log. Low-priority lines are dropped
-// first, so that lines about faults still fit, and a returning reader gets the number of dropped lines.
+// first, so that lines about faults still fit, and a returning reader gets the number of dropped
+// lines.
 func TestStalledReaderBlocksNoCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader, out := io.Pipe()
--- a/jackdawd/internal/telemetry/meter.go
+++ b/jackdawd/internal/telemetry/meter.go
@@ -13,6 +13,8 @@
 )
 
 const (
+	// reservoirSize and reservoirAlpha are the size and the decay factor of the exponentially decaying
+	// samples from which quantiles are computed.
 	reservoirSize  = 1028
 	reservoirAlpha = 0.015
 	// targetPercentile is the share of responses that must begin within the class's target.
@@ -39,7 +41,8 @@
 	return &Meter{registry: metrics.NewRegistry()}
 }
 
-// RecordResponse records a complete response and whether its first token came within the class's target.
+// RecordResponse records a complete response and whether its first token came within the class's
+// target.
 func (m *Meter) RecordResponse(class string, target, firstToken, total time.Duration) {
 	m.timer("first_token_seconds", class).Update(firstToken)
 	m.timer("answer_seconds", class).Update(total)
