--- a/jackdaw/internal/cmd/claimscmd.go
+++ b/jackdaw/internal/cmd/claimscmd.go
@@ -15,7 +15,7 @@
 
 var errLogNotRead = errors.New("query claims: the host has not read the log of this key to its end")
 
-func newClaimsCmd(c *globalFlags) *cobra.Command {
+func newClaimsCmd(g *globalFlags) *cobra.Command {
 	var workspace, key string
 	cmd := &cobra.Command{
 		Use:   "claims",
@@ -24,13 +24,13 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var claims report.Claims
 			query := url.Values{"workspace": {workspace}, "key": {key}}
-			if err := c.query(cmd.Context(), report.ClaimsPath, query, &claims); err != nil {
+			if err := g.query(cmd.Context(), report.ClaimsPath, query, &claims); err != nil {
 				return err
 			}
 			if !claims.Complete {
 				return errLogNotRead
 			}
-			return c.print(cmd.OutOrStdout(), claims, func(w io.Writer) error { return printClaims(w, claims) })
+			return g.print(cmd.OutOrStdout(), claims, func(w io.Writer) error { return printClaims(w, claims) })
 		},
 	}
 	cmd.Flags().StringVar(&workspace, "workspace", "", "the workspace that sent the key")
--- a/jackdaw/internal/cmd/targetsapplycmd.go
+++ b/jackdaw/internal/cmd/targetsapplycmd.go
@@ -42,7 +42,7 @@
 	Current  []string          `json:"current,omitempty"`
 }
 
-func newTargetsApplyCmd(c *globalFlags) *cobra.Command {
+func newTargetsApplyCmd(g *globalFlags) *cobra.Command {
 	var f applyFlags
 	cmd := &cobra.Command{
 		Use:   "apply FILE",
@@ -51,7 +51,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), f.timeout)
 			defer cancel()
-			return apply(ctx, c, f, args[0], cmd.OutOrStdout(), cmd.ErrOrStderr())
+			return apply(ctx, g, f, args[0], cmd.OutOrStdout(), cmd.ErrOrStderr())
 		},
 	}
 	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait for the log to answer, and until the change is in force on every entry host")
@@ -61,8 +61,8 @@
 	return cmd
 }
 
-func apply(ctx context.Context, c *globalFlags, f applyFlags, path string, out, progress io.Writer) error {
-	s, err := c.logServiceSettings()
+func apply(ctx context.Context, g *globalFlags, f applyFlags, path string, out, progress io.Writer) error {
+	s, err := g.logServiceSettings()
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 		change.BaseRevision = f.base
 	}
 	if d := publisher.Check(change); d.Verdict != register.Accepted {
-		return c.reportRejected(out, d, state, patch)
+		return g.reportRejected(out, d, state, patch)
 	}
 	d, err := publisher.Publish(ctx, change)
 	if err != nil {
@@ -87,14 +87,14 @@
 	}
 	if d.Verdict != register.Accepted {
 		state, _, err = publisher.Read(ctx)
-		return errors.Join(c.reportRejected(out, d, state, patch), err)
+		return errors.Join(g.reportRejected(out, d, state, patch), err)
 	}
-	return c.reportAccepted(ctx, s, f, d, out)
+	return g.reportAccepted(ctx, s, f, d, out)
 }
 
 // reportAccepted prints an accepted change and, if the flags ask to wait, waits until the revision
 // is in force.
-func (c *globalFlags) reportAccepted(ctx context.Context, s settings, f applyFlags, d register.Decision, out io.Writer) error {
+func (g *globalFlags) reportAccepted(ctx context.Context, s settings, f applyFlags, d register.Decision, out io.Writer) error {
 	result := applyResult{Decision: d}
 	if f.wait {
 		client := peers.NewClient(s.FleetSecret)
@@ -105,7 +105,7 @@
 		}
 		result.Spread = &spread
 	}
-	err := c.print(out, result, func(w io.Writer) error {
+	err := g.print(out, result, func(w io.Writer) error {
 		if result.Spread == nil {
 			_, err := fmt.Fprintf(w, "accepted as revision %d\n", d.Revision)
 			return err
@@ -121,10 +121,10 @@
 
 // reportRejected prints a rejected change with the values in force of its entries, and returns its
 // error.
-func (c *globalFlags) reportRejected(out io.Writer, d register.Decision, state register.State, patch register.Patch) error {
+func (g *globalFlags) reportRejected(out io.Writer, d register.Decision, state register.State, patch register.Patch) error {
 	result := applyResult{Decision: d}
 	result.Current = diff(state.Document, patch)
-	err := c.print(out, result, func(w io.Writer) error {
+	err := g.print(out, result, func(w io.Writer) error {
 		_, err := fmt.Fprintf(w, "%s\n%s\n", d.Reason, strings.Join(result.Current, "\n"))
 		return err
 	})
--- a/jackdaw/internal/cmd/targetsshowcmd.go
+++ b/jackdaw/internal/cmd/targetsshowcmd.go
@@ -18,13 +18,13 @@
 	Document targets.Document `json:"document"`
 }
 
-func newTargetsShowCmd(c *globalFlags) *cobra.Command {
+func newTargetsShowCmd(g *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show",
 		Short: "Show the configuration that the log holds",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			state, err := c.readConfiguration(cmd.Context())
+			state, err := g.readConfiguration(cmd.Context())
 			if err != nil {
 				return err
 			}
@@ -36,8 +36,8 @@
 }
 
 // readConfiguration returns the state of the configuration in the log.
-func (c *globalFlags) readConfiguration(ctx context.Context) (register.State, error) {
-	s, err := c.logServiceSettings()
+func (g *globalFlags) readConfiguration(ctx context.Context) (register.State, error) {
+	s, err := g.logServiceSettings()
 	if err != nil {
 		return register.State{}, err
 	}
@@ -45,17 +45,17 @@
 	return state, err
 }
 
-func newTargetsHistoryCmd(c *globalFlags) *cobra.Command {
+func newTargetsHistoryCmd(g *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
 		Short: "List the latest changes and what was decided on each",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			state, err := c.readConfiguration(cmd.Context())
+			state, err := g.readConfiguration(cmd.Context())
 			if err != nil {
 				return err
 			}
-			return c.print(cmd.OutOrStdout(), state.Decisions, func(w io.Writer) error {
+			return g.print(cmd.OutOrStdout(), state.Decisions, func(w io.Writer) error {
 				for _, d := range state.Decisions {
 					if _, err := fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", d.Revision, d.Verdict, d.Operator, d.Reason); err != nil {
 						return err
--- a/jackdaw/internal/cmd/targetsspreadcmd.go
+++ b/jackdaw/internal/cmd/targetsspreadcmd.go
@@ -19,17 +19,17 @@
 	publish.Spread
 }
 
-func newTargetsSpreadCmd(c *globalFlags) *cobra.Command {
+func newTargetsSpreadCmd(g *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "spread",
 		Short: "Show on how many entry hosts the newest revision is in force, and which lag",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			rollout, err := c.querySpread(cmd.Context())
+			rollout, err := g.queryRollout(cmd.Context())
 			if err != nil {
 				return err
 			}
-			return c.print(cmd.OutOrStdout(), rollout, func(w io.Writer) error {
+			return g.print(cmd.OutOrStdout(), rollout, func(w io.Writer) error {
 				_, err := fmt.Fprintf(w, "revision %d is in force on %d hosts, %d lag: %s\n",
 					rollout.Revision, rollout.InForce, len(rollout.Lagging), strings.Join(rollout.Lagging, ", "))
 				return err
@@ -38,13 +38,13 @@
 	}
 }
 
-// querySpread queries every live entry host once for the newest revision in the log.
-func (c *globalFlags) querySpread(ctx context.Context) (spread, error) {
-	s, err := c.logServiceSettings()
+// queryRollout queries every live entry host once for the newest revision in the log.
+func (g *globalFlags) queryRollout(ctx context.Context) (spread, error) {
+	s, err := g.logServiceSettings()
 	if err != nil {
 		return spread{}, err
 	}
-	state, err := c.readConfiguration(ctx)
+	state, err := g.readConfiguration(ctx)
 	if err != nil {
 		return spread{}, err
 	}
--- a/jackdaw/internal/publish/checkpoint.go
+++ b/jackdaw/internal/publish/checkpoint.go
@@ -15,7 +15,7 @@
 
 // FetchCheckpoint returns the configuration checkpoint of the first live entry host that returns a
 // complete one.
-func FetchCheckpoint(ctx context.Context, list HostListReader, caller Caller) (register.Checkpoint, error) {
+func FetchCheckpoint(ctx context.Context, list HostListReader, client RPCClient) (register.Checkpoint, error) {
 	hosts, _, _, err := list.Read(ctx, "")
 	if err != nil {
 		return register.Checkpoint{}, err
@@ -25,7 +25,7 @@
 			continue
 		}
 		var reply peers.CheckpointReply
-		if err := caller.Call(ctx, h.ControlAddress, peers.CheckpointCall, &peers.Empty{}, &reply); err != nil || !reply.Whole {
+		if err := client.Call(ctx, h.ControlAddress, peers.CheckpointCall, &peers.Empty{}, &reply); err != nil || !reply.Whole {
 			continue
 		}
 		var checkpoint register.Checkpoint
--- a/jackdaw/internal/publish/inforce.go
+++ b/jackdaw/internal/publish/inforce.go
@@ -21,8 +21,8 @@
 	Read(ctx context.Context, tag string) (list roster.List, newTag string, changed bool, err error)
 }
 
-// A Caller makes RPC calls to the control addresses of entry hosts.
-type Caller interface {
+// An RPCClient makes RPC calls to the control addresses of entry hosts.
+type RPCClient interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
@@ -35,14 +35,14 @@
 
 // WaitInForce polls every live entry host until all have the revision in force or ctx ends, and
 // returns the last status.
-func WaitInForce(ctx context.Context, list HostListReader, caller Caller, revision int64) (Spread, error) {
+func WaitInForce(ctx context.Context, list HostListReader, client RPCClient, revision int64) (Spread, error) {
 	hosts, _, _, err := list.Read(ctx, "")
 	if err != nil {
 		return Spread{}, err
 	}
 	var spread Spread
 	for ctx.Err() == nil {
-		spread = queryHosts(ctx, hosts.Hosts, caller, revision)
+		spread = queryHosts(ctx, hosts.Hosts, client, revision)
 		if len(spread.Lagging) == 0 {
 			break
 		}
@@ -52,16 +52,16 @@
 }
 
 // QueryInForce queries every live entry host once whether it has the revision in force.
-func QueryInForce(ctx context.Context, list HostListReader, caller Caller, revision int64) (Spread, error) {
+func QueryInForce(ctx context.Context, list HostListReader, client RPCClient, revision int64) (Spread, error) {
 	hosts, _, _, err := list.Read(ctx, "")
 	if err != nil {
 		return Spread{}, err
 	}
-	return queryHosts(ctx, hosts.Hosts, caller, revision), nil
+	return queryHosts(ctx, hosts.Hosts, client, revision), nil
 }
 
 // queryHosts queries the live entry hosts among hosts concurrently.
-func queryHosts(ctx context.Context, hosts []roster.Host, caller Caller, revision int64) Spread {
+func queryHosts(ctx context.Context, hosts []roster.Host, client RPCClient, revision int64) Spread {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var spread Spread
@@ -73,7 +73,7 @@
 		wg.Go(func() {
 			semaphore <- struct{}{}
 			defer func() { <-semaphore }()
-			isInForce := hasRevision(ctx, h, caller, revision)
+			isInForce := hasRevision(ctx, h, client, revision)
 			mu.Lock()
 			defer mu.Unlock()
 			if isInForce {
@@ -89,10 +89,10 @@
 
 // hasRevision reports whether a host has the revision or a later one in force; it is false if the
 // host does not respond.
-func hasRevision(ctx context.Context, h roster.Host, caller Caller, revision int64) bool {
+func hasRevision(ctx context.Context, h roster.Host, client RPCClient, revision int64) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var reply peers.RevisionReply
-	err := caller.Call(ctx, h.ControlAddress, peers.RevisionCall, &peers.Empty{}, &reply)
+	err := client.Call(ctx, h.ControlAddress, peers.RevisionCall, &peers.Empty{}, &reply)
 	return err == nil && reply.Revision >= revision
 }
--- a/jackdaw/internal/trace/timeline.go
+++ b/jackdaw/internal/trace/timeline.go
@@ -48,15 +48,15 @@
 
 // A Collector collects the log lines of several hosts that are relevant to one request.
 type Collector struct {
-	request      string
+	requestID    string
 	requestLines []Line
 	stateLines   []Line
 	skipped      int
 }
 
 // NewCollector returns an empty collector for a request ID.
-func NewCollector(request string) *Collector {
-	return &Collector{request: request}
+func NewCollector(requestID string) *Collector {
+	return &Collector{requestID: requestID}
 }
 
 // Read adds the lines of a log. Lines that are not JSON objects with a valid time are counted and
@@ -92,7 +92,7 @@
 
 func (c *Collector) add(line Line) {
 	switch {
-	case line.Text(requestField) == c.request:
+	case line.Text(requestField) == c.requestID:
 		c.requestLines = append(c.requestLines, line)
 	case isStateMessage(line.Text(messageField)):
 		c.stateLines = append(c.stateLines, line)
