--- a/jackdawd/internal/placement/balancer.go
+++ b/jackdawd/internal/placement/balancer.go
@@ -29,7 +29,7 @@
 
 // InProgress is how many requests are in progress, at one host or at several.
 type InProgress struct {
-	// Engines counts requests per engine, keyed by the lowest three bytes of the hash of its start.
+	// Engines counts requests per engine, keyed by the lowest three bytes of its ShortHash.
 	// Prompts counts requests per prompt, keyed by PromptHash.
 	Engines map[uint32]int
 	Prompts map[uint32]int
@@ -174,8 +174,8 @@
 	b.lastComputedAt = now
 }
 
-// HasRisingPrompt reports whether some prompt has many more requests in progress at all hosts than the plan
-// in force expects. Until the next regular plan all of them would go to one engine.
+// HasRisingPrompt reports whether some prompt has many more requests in progress at all hosts than
+// the plan in force expects. Until the next regular plan all of them would go to one engine.
 func (b *Balancer) HasRisingPrompt(all InProgress) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/jackdawd/internal/placement/cache_locations.go
+++ b/jackdawd/internal/placement/cache_locations.go
@@ -22,8 +22,8 @@
 
 // cacheLocation is an upstream that has a prompt cached.
 type cacheLocation struct {
-	start  traffic.UpstreamInstance
-	usedAt time.Time
+	instance traffic.UpstreamInstance
+	usedAt   time.Time
 }
 
 // CacheLocations tracks at which upstreams this host has used a prompt, most recent first.
@@ -44,18 +44,18 @@
 }
 
 // Record records that an upstream has answered a request with the prompt.
-func (w *CacheLocations) Record(now time.Time, key uint64, start traffic.UpstreamInstance) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	previous, _ := w.locations.Get(key)
+func (c *CacheLocations) Record(now time.Time, key uint64, instance traffic.UpstreamInstance) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	previous, _ := c.locations.Get(key)
 	kept := make([]cacheLocation, 1, maxLocations)
-	kept[0] = cacheLocation{start: start, usedAt: now}
+	kept[0] = cacheLocation{instance: instance, usedAt: now}
 	for _, l := range previous {
-		if l.start != start && len(kept) < maxLocations {
+		if l.instance != instance && len(kept) < maxLocations {
 			kept = append(kept, l)
 		}
 	}
-	w.locations.Add(key, kept)
+	c.locations.Add(key, kept)
 }
 
 // Membership lists the upstreams that a prompt may be fetched from.
@@ -77,16 +77,16 @@
 // before engines joined and left: the first in the prompt's rendezvous order that is not new,
 // including draining ones, which still have it. While a third of a pool was being replaced,
 // considering only upstreams that take requests left every third prompt without a source.
-func (w *CacheLocations) Source(now time.Time, key uint64, to *traffic.Upstream, members Membership) *traffic.Upstream {
-	w.mu.Lock()
-	locations, _ := w.locations.Get(key)
-	w.mu.Unlock()
-	if slices.ContainsFunc(locations, func(l cacheLocation) bool { return l.start == to.Instance() && now.Sub(l.usedAt) < cacheTTL }) {
+func (c *CacheLocations) Source(now time.Time, key uint64, to *traffic.Upstream, members Membership) *traffic.Upstream {
+	c.mu.Lock()
+	locations, _ := c.locations.Get(key)
+	c.mu.Unlock()
+	if slices.ContainsFunc(locations, func(l cacheLocation) bool { return l.instance == to.Instance() && now.Sub(l.usedAt) < cacheTTL }) {
 		return nil
 	}
 	for _, l := range locations {
-		// An upstream that has restarted under the same identifier has nothing cached.
-		if u, ok := members.Lookup(l.start.ID); ok && u.Instance() == l.start && now.Sub(l.usedAt) < cacheTTL {
+		// An upstream that has restarted under the same ID has nothing cached.
+		if u, ok := members.Lookup(l.instance.ID); ok && u.Instance() == l.instance && now.Sub(l.usedAt) < cacheTTL {
 			return u
 		}
 	}
--- a/jackdawd/internal/placement/doc.go
+++ b/jackdawd/internal/placement/doc.go
@@ -5,6 +5,6 @@
 // that engine's load is well above the mean of its pool. Other requests go to one of the least
 // loaded upstreams. Decisions use this host's own requests, the loads that upstreams report in
 // responses, and a plan that the region's first host computes from the requests in progress at all
-// hosts. The relay calls [Choose] for each attempt, and the fleet exchange distributes plans through
-// a [Balancer].
+// hosts. The relay calls [Choose] for each attempt, and package fleet distributes plans through a
+// [Balancer].
 package placement
--- a/jackdawd/internal/placement/loads.go
+++ b/jackdawd/internal/placement/loads.go
@@ -103,7 +103,7 @@
 }
 
 // InProgress returns the number of this host's requests at each upstream, keyed by the lowest three
-// bytes of the hash of its start.
+// bytes of its ShortHash.
 func (l *Loads) InProgress() map[uint32]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/jackdawd/internal/placement/plan.go
+++ b/jackdawd/internal/placement/plan.go
@@ -15,7 +15,7 @@
 // hosts, and all hosts place requests by it.
 //
 // A host of a large fleet sees too few of the requests to keep the load bound by itself;
-// BenchmarkRequestsOverTheMultiple compares both.
+// BenchmarkRequestsOverTheMultiple in package fleet compares both.
 //
 // A plan lists few engines, by hash: hosts may know different sets of engines, and a plan with all
 // of them would be too large to send twice a second.
@@ -45,7 +45,7 @@
 
 // plannedEngine is one engine's entry in a plan.
 type plannedEngine struct {
-	// hash holds the lowest bits of the hash of the engine's start.
+	// hash holds the lowest bits of the engine's ShortHash.
 	hash uint32
 	load uint8
 	// weight is the part of its prompts that the engine takes, in units of 1/maxWeight.
@@ -99,8 +99,8 @@
 	return packed
 }
 
-// unpackEngines returns the engines that the plan lists, by the lowest bits of the hashes of their
-// starts. A truncated entry at the end is ignored.
+// unpackEngines returns the engines that the plan lists, by the lowest bits of their ShortHash. A
+// truncated entry at the end is ignored.
 func (p PoolPlan) unpackEngines() map[uint32]plannedEngine {
 	engines := map[uint32]plannedEngine{}
 	for packed := p.Engines; len(packed) >= engineBytes; packed = packed[engineBytes:] {
--- a/jackdawd/internal/placement/request_stats.go
+++ b/jackdawd/internal/placement/request_stats.go
@@ -37,7 +37,7 @@
 type RequestStats struct {
 	mu    sync.Mutex
 	pools map[string]*poolStats
-	// classes holds the mean duration of responses per class.
+	// classes holds the mean duration of responses per class of requests, named after its route.
 	classes *lru.Cache[string, time.Duration]
 }
 
@@ -49,31 +49,31 @@
 }
 
 // RecordStart records that a request was sent to a pool.
-func (t *RequestStats) RecordStart(now time.Time, pool string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.poolStats(now, pool).recordStart(now)
+func (s *RequestStats) RecordStart(now time.Time, pool string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.poolStats(now, pool).recordStart(now)
 }
 
 // RecordEnd records how long a response took, for its pool and class.
-func (t *RequestStats) RecordEnd(now time.Time, pool, class string, took time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	p := t.poolStats(now, pool)
+func (s *RequestStats) RecordEnd(now time.Time, pool, class string, took time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p := s.poolStats(now, pool)
 	p.meanDuration += (took - p.meanDuration) / meanDurationRequests
 	p.meanSquareSeconds += (took.Seconds()*took.Seconds() - p.meanSquareSeconds) / lifetimeRequests
 	p.meanSeconds += (took.Seconds() - p.meanSeconds) / lifetimeRequests
-	if previous, ok := t.classes.Get(class); ok {
+	if previous, ok := s.classes.Get(class); ok {
 		took = previous + (took-previous)/lifetimeRequests
 	}
-	t.classes.Add(class, took)
+	s.classes.Add(class, took)
 }
 
 // MeanDuration returns the mean duration of responses to a class of requests.
-func (t *RequestStats) MeanDuration(class string) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if took, ok := t.classes.Get(class); ok {
+func (s *RequestStats) MeanDuration(class string) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if took, ok := s.classes.Get(class); ok {
 		return took
 	}
 	return initialDuration
@@ -81,10 +81,10 @@
 
 // MeanLifetime returns the mean duration of a pool's requests in progress. It is longer than the
 // mean of all requests, as long requests are in progress more of the time.
-func (t *RequestStats) MeanLifetime(now time.Time, pool string) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	p := t.poolStats(now, pool)
+func (s *RequestStats) MeanLifetime(now time.Time, pool string) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p := s.poolStats(now, pool)
 	if p.meanSeconds <= 0 {
 		return 0
 	}
@@ -93,19 +93,19 @@
 
 // ReportsLag reports whether a pool's requests arrive or end faster than hosts can report them to
 // each other.
-func (t *RequestStats) ReportsLag(now time.Time, pool string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	p, ok := t.pools[pool]
+func (s *RequestStats) ReportsLag(now time.Time, pool string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p, ok := s.pools[pool]
 	return ok && (p.meanDuration < planLag || p.isBurst(now))
 }
 
-func (t *RequestStats) poolStats(now time.Time, pool string) *poolStats {
-	p, ok := t.pools[pool]
+func (s *RequestStats) poolStats(now time.Time, pool string) *poolStats {
+	p, ok := s.pools[pool]
 	if !ok {
 		initialSeconds := initialDuration.Seconds()
 		p = &poolStats{startedAt: now, rateUpdatedAt: now, meanDuration: initialDuration, meanSeconds: initialSeconds, meanSquareSeconds: initialSeconds * initialSeconds}
-		t.pools[pool] = p
+		s.pools[pool] = p
 	}
 	return p
 }
@@ -134,7 +134,7 @@
 }
 
 // baselineRate returns the usual number of requests per second. Until the statistics cover
-// baselineWindow, as after a start, the average is corrected for the missing time.
+// baselineWindow, as after the host has started, the average is corrected for the missing time.
 func (p *poolStats) baselineRate(now time.Time) float64 {
 	decay := math.Exp(-now.Sub(p.rateUpdatedAt).Seconds() / baselineWindow.Seconds())
 	covered := 1 - math.Exp(-max(now.Sub(p.startedAt), burstWindow).Seconds()/baselineWindow.Seconds())
