--- a/jackdawd/internal/admission/controller.go
+++ b/jackdawd/internal/admission/controller.go
@@ -63,7 +63,8 @@
 
 // A Request describes a request to the controller.
 type Request struct {
-	Pool  string
+	Pool string
+	// Class is the name of the request's route.
 	Class string
 	// Workspace is the workspace that sent the request.
 	Workspace string
@@ -146,7 +147,8 @@
 	}
 }
 
-// TimeToFirstByte returns the mean time until a response of a class begins if the request doesn't wait.
+// TimeToFirstByte returns the mean time until a response of a class begins if the request doesn't
+// wait.
 func (c *Controller) TimeToFirstByte(class string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,7 +158,7 @@
 // WaitedBeforeRetry returns how long ago a caller that will still wait for timeLeft sent its first
 // attempt. Callers of a class wait equally long in total, so one that was refused has less time left
 // when it retries. The reference is the time that most callers have left rather than the longest
-// time, as a single caller with more patience would make all others look like retries.
+// time, as a single caller with a longer timeout would make all others look like retries.
 func (c *Controller) WaitedBeforeRetry(class string, timeLeft time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/jackdawd/internal/admission/delay.go
+++ b/jackdawd/internal/admission/delay.go
@@ -31,9 +31,9 @@
 	return max(time.Duration(reported), c.longestWait(now, rank, upstream, backlog.HadQueue))
 }
 
-// Stuck reports whether the responses to several of this host's requests at an upstream are
+// IsStuck reports whether the responses to several of this host's requests at an upstream are
 // overdue.
-func (c *Controller) Stuck(now time.Time, upstream traffic.UpstreamInstance) bool {
+func (c *Controller) IsStuck(now time.Time, upstream traffic.UpstreamInstance) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
--- a/jackdawd/internal/admission/refusal.go
+++ b/jackdawd/internal/admission/refusal.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// minClassRatio is the part of this host's running requests that each class may have regardless
+	// minClassShare is the minimum part of this host's running requests that each class may have regardless
 	// of more urgent ones, so that none starves.
-	minClassRatio = 0.1
+	minClassShare = 0.1
 	// refusalWindow is how long after a refusal less urgent requests are refused as well: about the
 	// time between two refusals at a host that sees few requests of an overload.
 	refusalWindow = 300 * time.Millisecond
@@ -59,7 +59,8 @@
 	Usual Precedence = "usual"
 	// Surging requests are of a workspace that sends many times its usual requests.
 	Surging Precedence = "surging"
-	// BelowMinShare requests are of a class below its minimum share of the running requests, and go first.
+	// BelowMinShare requests are of a class below its minimum share of the running requests, and go
+	// first.
 	BelowMinShare Precedence = "owed"
 )
 
@@ -74,7 +75,7 @@
 	switch {
 	case p.demand.isSurging(now, r.Workspace):
 		return Surging
-	case float64(p.runningByClass[r.Class]) < minClassRatio*float64(p.running):
+	case float64(p.runningByClass[r.Class]) < minClassShare*float64(p.running):
 		return BelowMinShare
 	}
 	return Usual
--- a/jackdawd/internal/relay/admission.go
+++ b/jackdawd/internal/relay/admission.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// engineMaxWaitRatio is the fraction of the time left until its target that a request may be
+	// engineMaxDelayRatio is the fraction of the time left until its target that a request may be
 	// expected to queue at an engine. Load reports of engines are half a second old, and other
 	// hosts send about as many requests again in that time; shorter queues also drain sooner after
 	// a surge. With ratios of 1, 0.5 and 0.25, a surge of twelve times the usual load had 1,068,
 	// 1,103 and 1,154 of 2,070 requests of one kind answered on time.
-	engineMaxWaitRatio = 0.25
-	// serviceMaxWaitRatio is the same fraction for plain services, which report their queues in
+	engineMaxDelayRatio = 0.25
+	// serviceMaxDelayRatio is the same fraction for plain services, which report their queues in
 	// each response, every few milliseconds.
-	serviceMaxWaitRatio = 0.75
-	// surgingMaxWaitRatio reduces the maximum wait for a workspace that sends many times its usual
+	serviceMaxDelayRatio = 0.75
+	// surgingMaxDelayRatio reduces the maximum delay for a workspace that sends many times its usual
 	// load. It bounds the queues that such a workspace builds, so that the requests of others still
 	// find room.
-	surgingMaxWaitRatio = 0.5
+	surgingMaxDelayRatio = 0.5
 	// surgingUrgencyPenalty is added to the urgency rank of such requests: half of all ranks.
 	surgingUrgencyPenalty = 5
-	// lateMaxWaitRatio is the fraction of its whole target that a request may queue when it can
+	// lateMaxDelayRatio is the fraction of its whole target that a request may queue when it can
 	// hardly meet the target any more. A late response is still of use, but must not displace one
 	// that can be on time.
-	lateMaxWaitRatio = 0.0625
+	lateMaxDelayRatio = 0.0625
 )
 
 // reasonTooLate is the reason of a request that was refused because it would queue for too long.
@@ -39,21 +39,21 @@
 	return admission.Request{Pool: j.pool.Name, Class: j.route.Name, Workspace: j.workspace.Name, Rank: j.urgency(), Target: j.route.FirstByteTarget}
 }
 
-// maxWait returns how long the request may queue at an upstream and still start on time.
-func (j *job) maxWait() time.Duration {
+// maxDelay returns how long the request may queue at an upstream and still start on time.
+func (j *job) maxDelay() time.Duration {
 	if j.headerSent {
 		// The rest of a response that the caller already reads was admitted with its start.
 		return defaultTimeout
 	}
 	untilTarget := j.route.FirstByteTarget - j.priorWait - time.Since(j.arrived) - j.Admission.TimeToFirstByte(j.route.Name)
-	ratio := serviceMaxWaitRatio
+	ratio := serviceMaxDelayRatio
 	if j.pool.Engine {
-		ratio = engineMaxWaitRatio
+		ratio = engineMaxDelayRatio
 	}
 	if j.precedence == admission.Surging {
-		ratio *= surgingMaxWaitRatio
+		ratio *= surgingMaxDelayRatio
 	}
-	return max(time.Duration(ratio*float64(untilTarget)), time.Duration(lateMaxWaitRatio*float64(j.route.FirstByteTarget)))
+	return max(time.Duration(ratio*float64(untilTarget)), time.Duration(lateMaxDelayRatio*float64(j.route.FirstByteTarget)))
 }
 
 // setPrecedence sets the precedence of the request over others to the same upstreams.
@@ -83,24 +83,24 @@
 	return j.Admission.Delay(now, j.admissionRequest(), u.Instance(), j.Loads.Backlog(now, u))
 }
 
-// stalledAt reports whether requests of this host are stalled at an upstream while the pool has
+// isStuck reports whether requests of this host are stuck at an upstream while the pool has
 // capacity. In an overload they queue at every upstream, and moving a prompt would only make
 // another engine process it again.
-func (j *job) stalledAt(u *traffic.Upstream) bool {
+func (j *job) isStuck(u *traffic.Upstream) bool {
 	now := time.Now()
-	return j.Admission.OverloadDuration(now, j.pool.Name) == 0 && j.Admission.Stuck(now, u.Instance())
+	return j.Admission.OverloadDuration(now, j.pool.Name) == 0 && j.Admission.IsStuck(now, u.Instance())
 }
 
-// wouldStartTooLate reports whether the request would queue at an upstream for more than maxWait,
+// wouldStartTooLate reports whether the request would queue at an upstream for more than maxDelay,
 // or follows a more urgent request that was just refused there.
-func (j *job) wouldStartTooLate(u *traffic.Upstream, maxWait time.Duration) bool {
+func (j *job) wouldStartTooLate(u *traffic.Upstream, maxDelay time.Duration) bool {
 	if j.headerSent {
 		return false
 	}
-	return j.delay > maxWait || j.Admission.MoreUrgentRefused(time.Now(), j.admissionRequest(), u.Instance())
+	return j.delay > maxDelay || j.Admission.MoreUrgentRefused(time.Now(), j.admissionRequest(), u.Instance())
 }
 
-// refuseOverload registers that the request is refused for lack of capacity at an upstream and
+// refuseOverload records that the request is refused for lack of capacity at an upstream and
 // returns the refusal.
 func (j *job) refuseOverload(u *traffic.Upstream, delay time.Duration) *work.Refusal {
 	now := time.Now()
--- a/jackdawd/internal/relay/attempt.go
+++ b/jackdawd/internal/relay/attempt.go
@@ -62,7 +62,7 @@
 	if j.cacheable {
 		j.Balancer.Begin(j.affinityKey)
 	}
-	run := j.Admission.RecordSent(now, j.admissionRequest(), u.Instance(), j.delay)
+	admissionAttempt := j.Admission.RecordSent(now, j.admissionRequest(), u.Instance(), j.delay)
 	complete := false
 	defer func() {
 		now := time.Now()
@@ -73,14 +73,14 @@
 		if j.cacheable {
 			j.Balancer.End(j.affinityKey)
 		}
-		run.RecordEnd(now, complete)
+		admissionAttempt.RecordEnd(now, complete)
 	}()
 	j.watchdog = j.startWatchdog(ctx, u)
 	defer j.watchdog.stop()
-	call := j.call(u)
-	response, err := j.Client.Do(ctx, call)
+	req := j.upstreamRequest(u)
+	response, err := j.Client.Do(ctx, req)
 	if err != nil {
-		return j.handleCallError(ctx, u, err)
+		return j.handleRequestError(ctx, u, err)
 	}
 	defer response.Close()
 	j.sentCount++
@@ -107,12 +107,12 @@
 			j.Loads.Record(time.Now(), u, traffic.Load{Running: u.Slots, Waiting: u.Slots, Slots: u.Slots})
 		}
 		if head.Backoff == 0 {
-			j.reportExperience(ctx, u, control.ConnectionFailed)
+			j.reportToMembership(ctx, u, control.ConnectionFailed)
 		}
 		return result{verdict: rejected}
 	}
 	j.mayHaveRun = true
-	run.RecordFirstByte(time.Now())
+	admissionAttempt.RecordFirstByte(time.Now())
 	isStream := head.EventStream && response.Status() == http.StatusOK
 	switch {
 	case response.Status() < http.StatusMultipleChoices && !head.Signed:
@@ -129,12 +129,12 @@
 	return j.conclude(ctx, u, r)
 }
 
-// handleCallError returns the result of a call that got no response header.
-func (j *job) handleCallError(ctx context.Context, u *traffic.Upstream, err error) result {
+// handleRequestError returns the result of a request that got no response header.
+func (j *job) handleRequestError(ctx context.Context, u *traffic.Upstream, err error) result {
 	var notSent *exchange.NotSentError
 	if errors.As(err, &notSent) {
 		if !errors.Is(err, exchange.ErrTooManyConnections) {
-			j.reportExperience(ctx, u, control.ConnectionFailed)
+			j.reportToMembership(ctx, u, control.ConnectionFailed)
 		}
 		return result{verdict: unsent, err: err}
 	}
@@ -153,20 +153,20 @@
 	switch r.verdict {
 	case callerLeft:
 	case failed:
-		j.reportExperience(ctx, u, control.Failed)
+		j.reportToMembership(ctx, u, control.Failed)
 	case broken:
-		j.reportExperience(ctx, u, control.ConnectionFailed)
+		j.reportToMembership(ctx, u, control.ConnectionFailed)
 	default:
-		j.reportExperience(ctx, u, control.Succeeded)
+		j.reportToMembership(ctx, u, control.Succeeded)
 	}
 	return r
 }
 
-// reportExperience reports to membership how the upstream did, once for each attempt. A call that
+// reportToMembership reports the result of an attempt to membership, once for each attempt. One that
 // ended because the caller disconnected or the deadline passed does not count against the upstream.
-func (j *job) reportExperience(ctx context.Context, u *traffic.Upstream, experience control.Result) {
-	if j.watchdog.stop() && (experience == control.Succeeded || ctx.Err() == nil) {
-		j.Membership.Observe(u.Instance(), experience)
+func (j *job) reportToMembership(ctx context.Context, u *traffic.Upstream, observed control.Result) {
+	if j.watchdog.stop() && (observed == control.Succeeded || ctx.Err() == nil) {
+		j.Membership.Observe(u.Instance(), observed)
 	}
 }
 
@@ -178,19 +178,19 @@
 }
 
 // relayBuffered forwards a response that is no stream.
-func (j *job) relayBuffered(ctx context.Context, a *exchange.Response) result {
-	body, err := io.ReadAll(io.LimitReader(a, maxBufferedBytes))
+func (j *job) relayBuffered(ctx context.Context, resp *exchange.Response) result {
+	body, err := io.ReadAll(io.LimitReader(resp, maxBufferedBytes))
 	if err != nil {
 		return result{verdict: broken, err: err}
 	}
-	response := &bufferedResponse{status: a.Status(), header: a.Header(), body: body}
+	buffered := &bufferedResponse{status: resp.Status(), header: resp.Header(), body: body}
 	if len(body) == maxBufferedBytes {
-		return j.relayUnbuffered(ctx, a, response)
+		return j.relayUnbuffered(ctx, resp, buffered)
 	}
-	if a.Status() >= http.StatusInternalServerError {
-		return result{verdict: failed, response: response}
+	if resp.Status() >= http.StatusInternalServerError {
+		return result{verdict: failed, response: buffered}
 	}
-	j.writeBuffered(response)
+	j.writeBuffered(buffered)
 	return result{verdict: answered}
 }
 
@@ -223,16 +223,16 @@
 
 // relayUnbuffered forwards a response that is too large to buffer, of which prefix was already
 // read.
-func (j *job) relayUnbuffered(ctx context.Context, a *exchange.Response, prefix *bufferedResponse) result {
-	if a.ContentLength() >= 0 {
+func (j *job) relayUnbuffered(ctx context.Context, resp *exchange.Response, prefix *bufferedResponse) result {
+	if resp.ContentLength() >= 0 {
 		// The length lets the caller detect a truncated response.
-		j.w.Header().Set("Content-Length", strconv.FormatInt(a.ContentLength(), 10))
+		j.w.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength(), 10))
 	}
 	j.writeHeader(prefix.status, prefix.header)
 	if _, err := j.w.Write(prefix.body); err != nil {
 		return result{verdict: callerLeft, err: err}
 	}
-	if _, err := io.CopyBuffer(writerOnly{j.w}, readerOnly{a}, make([]byte, readBufferBytes)); err != nil {
+	if _, err := io.CopyBuffer(writerOnly{j.w}, readerOnly{resp}, make([]byte, readBufferBytes)); err != nil {
 		if ctx.Err() != nil {
 			return result{verdict: callerLeft, err: err}
 		}
--- a/jackdawd/internal/relay/backoff.go
+++ b/jackdawd/internal/relay/backoff.go
@@ -13,9 +13,9 @@
 // that were rejected together would return together.
 const maxBackoffJitter = time.Second
 
-// Backoffs holds until when upstreams have asked this host to send no requests. It is kept apart from
-// failure evidence, which decays by itself, because an upstream's request applies at once and for
-// exactly the time that it names. It is safe for concurrent use.
+// Backoffs holds until when upstreams have asked this host to send no requests. It is kept apart
+// from the outlier detector, which ends an avoidance by itself, because an upstream's request
+// applies at once and for exactly the time that it names. It is safe for concurrent use.
 type Backoffs struct {
 	mu    sync.Mutex
 	until map[traffic.UpstreamInstance]time.Time
@@ -24,28 +24,28 @@
 // NewBackoffs returns an empty set of backoffs.
 func NewBackoffs() *Backoffs { return &Backoffs{until: map[traffic.UpstreamInstance]time.Time{}} }
 
-// Add registers that an upstream wants no requests for the time d. It never shortens a backoff.
-func (p *Backoffs) Add(now time.Time, start traffic.UpstreamInstance, d time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	maps.DeleteFunc(p.until, func(_ traffic.UpstreamInstance, until time.Time) bool { return until.Before(now) })
+// Add records that an upstream wants no requests for the time d. It never shortens a backoff.
+func (b *Backoffs) Add(now time.Time, instance traffic.UpstreamInstance, d time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	maps.DeleteFunc(b.until, func(_ traffic.UpstreamInstance, until time.Time) bool { return until.Before(now) })
 	until := now.Add(d + rand.N(min(d, maxBackoffJitter)))
-	if until.After(p.until[start]) {
-		p.until[start] = until
+	if until.After(b.until[instance]) {
+		b.until[instance] = until
 	}
 }
 
 // Remaining returns the backoff that remains for each upstream; it omits those without one.
-func (p *Backoffs) Remaining(now time.Time) map[traffic.UpstreamInstance]time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.until) == 0 {
+func (b *Backoffs) Remaining(now time.Time) map[traffic.UpstreamInstance]time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.until) == 0 {
 		return nil
 	}
 	remaining := map[traffic.UpstreamInstance]time.Duration{}
-	for start, until := range p.until {
+	for instance, until := range b.until {
 		if until.After(now) {
-			remaining[start] = until.Sub(now)
+			remaining[instance] = until.Sub(now)
 		}
 	}
 	return remaining
--- a/jackdawd/internal/relay/budgets.go
+++ b/jackdawd/internal/relay/budgets.go
@@ -37,11 +37,11 @@
 	}
 }
 
-// Earn adds the retry credit of one request to a pool's budget.
-func (b *RetryBudgets) Earn(pool string) { b.pool(pool).Deposit() }
+// Deposit adds the retry credit of one request to a pool's budget.
+func (b *RetryBudgets) Deposit(pool string) { b.pool(pool).Deposit() }
 
-// Spend takes one retry from a pool's budget and reports whether there was one.
-func (b *RetryBudgets) Spend(pool string) bool { return b.pool(pool).TryWithdraw() }
+// TryWithdraw takes one retry from a pool's budget and reports whether there was one.
+func (b *RetryBudgets) TryWithdraw(pool string) bool { return b.pool(pool).TryWithdraw() }
 
 // Remaining returns the number of retries that remain, by pool.
 func (b *RetryBudgets) Remaining() map[string]int64 {
--- a/jackdawd/internal/relay/caller.go
+++ b/jackdawd/internal/relay/caller.go
@@ -18,8 +18,8 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// HasDisconnected reports whether the caller has closed the connection that a context carries. The HTTP
-// server only starts to watch the connection with the request, so that its context may still be
+// HasDisconnected reports whether the caller has closed the connection that a context carries. The
+// HTTP server only starts to watch the connection with the request, so that its context may still be
 // valid for a caller that disconnected before.
 func HasDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(syscall.Conn)
--- a/jackdawd/internal/relay/handler.go
+++ b/jackdawd/internal/relay/handler.go
@@ -49,8 +49,9 @@
 	// ParseRequest parses the headers of a caller's request.
 	ParseRequest(h http.Header) (traffic.Request, error)
 	// UpstreamHeader returns the headers of the request to an upstream.
-	UpstreamHeader(callerHeader http.Header, hop traffic.ForwardMetadata) http.Header
-	// CopyResponseHeader adds the headers of an upstream's response to those of the response to the caller.
+	UpstreamHeader(callerHeader http.Header, metadata traffic.ForwardMetadata) http.Header
+	// CopyResponseHeader adds the headers of an upstream's response to those of the response to the
+	// caller.
 	CopyResponseHeader(callerHeader, upstreamHeader http.Header)
 	// SetRefusalHeader adds the headers of a refusal.
 	SetRefusalHeader(h http.Header, requestID string, retryAfter time.Duration)
@@ -67,12 +68,12 @@
 	// Current reports whether the configuration is recent enough to reject a key or a path that it
 	// lacks.
 	Current() bool
-	// Observe registers the result of an attempt at an upstream.
-	Observe(start traffic.UpstreamInstance, result control.Result)
-	// RemoveReplaced registers that another upstream has taken over the address.
-	RemoveReplaced(start traffic.UpstreamInstance)
-	// MarkLeaving registers that the upstream reported that it is leaving.
-	MarkLeaving(start traffic.UpstreamInstance)
+	// Observe records the result of an attempt at an upstream.
+	Observe(instance traffic.UpstreamInstance, result control.Result)
+	// RemoveReplaced records that another upstream has taken over the address.
+	RemoveReplaced(instance traffic.UpstreamInstance)
+	// MarkLeaving records that the upstream reported that it is leaving.
+	MarkLeaving(instance traffic.UpstreamInstance)
 }
 
 // Options are the dependencies and settings of a Handler.
--- a/jackdawd/internal/relay/job.go
+++ b/jackdawd/internal/relay/job.go
@@ -129,7 +129,7 @@
 	}
 	j.pool, _ = j.snapshot.Configuration().Pool(j.route.PickPool(j.affinityKey))
 	j.cacheable = j.cacheable && j.pool.Engine
-	j.RetryBudgets.Earn(j.pool.Name)
+	j.RetryBudgets.Deposit(j.pool.Name)
 	j.priorWait = j.Admission.WaitedBeforeRetry(j.route.Name, j.request.TimeLeft)
 	j.Admission.RecordArrival(time.Now(), j.admissionRequest())
 	var last result
@@ -198,7 +198,7 @@
 		return "upstreams-bounded"
 	case !safe:
 		return "may-have-run"
-	case !j.RetryBudgets.Spend(j.pool.Name):
+	case !j.RetryBudgets.TryWithdraw(j.pool.Name):
 		return "budget-spent"
 	}
 	return ""
@@ -214,7 +214,7 @@
 		// Abort the connection, so that a partial response does not look complete.
 		panic(http.ErrAbortHandler)
 	case j.headerSent:
-		j.record(BrokenOff, j.status, nil)
+		j.record(Truncated, j.status, nil)
 		panic(http.ErrAbortHandler)
 	case last.response != nil:
 		j.writeBuffered(last.response)
@@ -262,16 +262,16 @@
 	_, _ = j.w.Write(r.Body())
 }
 
-// hop returns the metadata that is added to the request to an upstream.
-func (j *job) hop(u *traffic.Upstream) traffic.ForwardMetadata {
-	hop := traffic.ForwardMetadata{
+// forwardMetadata returns the metadata that is added to the request to an upstream.
+func (j *job) forwardMetadata(u *traffic.Upstream) traffic.ForwardMetadata {
+	metadata := traffic.ForwardMetadata{
 		Upstream: u.ID, Workspace: j.workspace.Name, TimeLeft: time.Until(j.deadline),
 		Urgency: j.urgency(), ResumeAfter: j.splitter.LastEventID(),
 	}
 	if j.fetchFrom != nil {
-		hop.FetchFrom = j.fetchFrom.Address
+		metadata.FetchFrom = j.fetchFrom.Address
 	}
-	return hop
+	return metadata
 }
 
 const (
@@ -287,19 +287,19 @@
 	return min(w.Urgency*urgenciesPerWorkspace+min(r.Urgency, urgenciesPerWorkspace-1), lowestUrgency)
 }
 
-// call returns the request to an upstream.
-func (j *job) call(u *traffic.Upstream) exchange.Request {
-	call := exchange.Request{
+// upstreamRequest returns the request to an upstream.
+func (j *job) upstreamRequest(u *traffic.Upstream) exchange.Request {
+	req := exchange.Request{
 		Address: u.Address, Upstream: u.Instance(), ID: j.request.ID, Method: j.r.Method, Target: requestTarget(j.r), Host: j.r.Host,
-		Header: j.Protocol.UpstreamHeader(j.r.Header, j.hop(u)), Body: j.body,
+		Header: j.Protocol.UpstreamHeader(j.r.Header, j.forwardMetadata(u)), Body: j.body,
 		MaxConnections: j.pool.MaxConnections / hostConnectionDivisor,
 		HeaderTimeout:  j.firstByteTimeout(j.sentCount + 1),
 		AbortOnTimeout: func() bool { return !j.isFull(u) },
 	}
 	if !j.route.Repeatable() {
-		call.MaxIdleTime = maxIdleNonRepeatable
+		req.MaxIdleTime = maxIdleNonRepeatable
 	}
-	return call
+	return req
 }
 
 const (
--- a/jackdawd/internal/relay/place.go
+++ b/jackdawd/internal/relay/place.go
@@ -41,7 +41,7 @@
 	step.Upstream, step.Mean, step.Limit = upstream.ID, choice.Mean(), choice.Limit()
 	step.Load = j.Loads.Load(time.Now(), upstream)
 	step.PlanAge, step.HasPlan = choice.Plan.Age(time.Now())
-	step.Delay, step.MaxWait = j.delay, choice.MaxDelay
+	step.Delay, step.MaxDelay = j.delay, choice.MaxDelay
 	if j.wouldStartTooLate(upstream, choice.MaxDelay) {
 		j.placementRefusal = j.refuseOverload(upstream, j.delay)
 		step.Decision, step.Reason = Stopped, reasonTooLate
@@ -60,7 +60,7 @@
 func (j *job) choice(upstreams []*traffic.Upstream) placement.Choice {
 	return placement.Choice{
 		Upstreams: upstreams, Loads: j.Loads.All(time.Now(), upstreams), Key: j.affinityKey, Cacheable: j.cacheable,
-		Delay: j.expectedDelay, Stuck: j.stalledAt, MaxDelay: j.maxWait(),
+		Delay: j.expectedDelay, Stuck: j.isStuck, MaxDelay: j.maxDelay(),
 		FailureDomain: j.FailureDomain, LoadMultiple: j.LoadMultiple(), Hosts: j.HostCount(), Random: rand.Uint64(),
 		Plan: j.Balancer.LocalPlan(time.Now()), Pool: j.pool.Name, ReportsLag: j.Turnovers.ReportsLag(time.Now(), j.pool.Name),
 		Lifetime: j.Turnovers.MeanLifetime(time.Now(), j.pool.Name), SharedTokens: j.request.SharedTokens(), MeanDuration: j.Turnovers.MeanDuration(j.route.Name),
--- a/jackdawd/internal/relay/quarantine.go
+++ b/jackdawd/internal/relay/quarantine.go
@@ -20,10 +20,10 @@
 	Empty() bool
 	// Quarantined reports whether a request is quarantined, and for how much longer.
 	Quarantined(now time.Time, f quarantine.Fingerprint) (time.Duration, bool)
-	// RecordCrash registers that an upstream crashed after it had run a request for a time. The
-	// upstream is named by the short hash of its start.
-	RecordCrash(now time.Time, f quarantine.Fingerprint, start uint32, ran time.Duration)
-	// RecordResponse registers that an upstream executed a request and answered.
+	// RecordCrash records that an upstream crashed after it had run a request for a time. The
+	// upstream is identified by its ShortHash.
+	RecordCrash(now time.Time, f quarantine.Fingerprint, upstream uint32, ran time.Duration)
+	// RecordResponse records that an upstream executed a request and answered.
 	RecordResponse(now time.Time, f quarantine.Fingerprint)
 }
 
@@ -58,7 +58,7 @@
 	return work.NewRefusal(http.StatusServiceUnavailable, work.Quarantined, "upstreams have crashed under copies of this request").WithRetryAfter(remaining)
 }
 
-// reportToQuarantine registers the result of an attempt with the quarantine: an upstream that
+// reportToQuarantine reports the result of an attempt to the quarantine: an upstream that
 // crashes counts against the request, one that answers counts in its favor.
 func (j *job) reportToQuarantine(u *traffic.Upstream, r result) {
 	switch {
--- a/jackdawd/internal/relay/record.go
+++ b/jackdawd/internal/relay/record.go
@@ -34,8 +34,8 @@
 	Answered Outcome = "answered"
 	// Refused: the caller has an error response of this host.
 	Refused Outcome = "refused"
-	// BrokenOff: the caller has a truncated response and can tell so.
-	BrokenOff Outcome = "broken-off"
+	// Truncated: the caller has a truncated response and can tell so.
+	Truncated Outcome = "broken-off"
 	// CallerLeft: the caller disconnected before the response was complete.
 	CallerLeft Outcome = "left"
 )
@@ -68,8 +68,8 @@
 	Err     error
 	// Delay is how long the request was expected to queue at the upstream.
 	Delay time.Duration
-	// MaxWait is the maximum that it may queue there.
-	MaxWait time.Duration
+	// MaxDelay is the maximum time that it may queue there.
+	MaxDelay time.Duration
 	// Reason is why no other upstream was tried.
 	Reason string
 	// ResumeAfter is the ID of the last event that the caller got before its stream was resumed.
@@ -106,9 +106,9 @@
 }
 
 // Attempts returns the number of times that an upstream was selected for the request.
-func (s *RequestRecord) Attempts() int {
+func (r *RequestRecord) Attempts() int {
 	n := 0
-	for _, step := range s.Steps {
+	for _, step := range r.Steps {
 		if step.Decision == Placed {
 			n++
 		}
@@ -118,7 +118,7 @@
 
 // A Recorder receives the records of requests that have ended.
 type Recorder interface {
-	Record(s *RequestRecord)
+	Record(r *RequestRecord)
 }
 
 // addStep appends a step to the record.
@@ -129,18 +129,18 @@
 
 // record delivers the record of the finished request.
 func (j *job) record(o Outcome, status int, refusal *work.Refusal) {
-	s := &RequestRecord{
+	r := &RequestRecord{
 		RequestID: j.request.ID, Workspace: j.workspace.Name, Pool: j.pool.Name, Arrived: j.arrived, Steps: j.steps,
 		Outcome: o, Status: status, Refusal: refusal, TimeToFirstByte: j.timeToFirstByte, MaxEventGap: j.maxEventGap, Duration: time.Since(j.arrived),
 	}
 	if j.suspected {
-		s.Fingerprint = j.fingerprint
+		r.Fingerprint = j.fingerprint
 	}
 	if j.route != nil {
-		s.Route, s.Kind = j.route.Name, string(j.route.Kind)
+		r.Route, r.Kind = j.route.Name, string(j.route.Kind)
 	}
 	if j.snapshot != nil && j.snapshot.Configuration() != nil {
-		s.HasConfiguration, s.ConfigurationVersion, s.ConfigurationAge = true, j.snapshot.Configuration().Version(), j.configurationAge
+		r.HasConfiguration, r.ConfigurationVersion, r.ConfigurationAge = true, j.snapshot.Configuration().Version(), j.configurationAge
 	}
-	j.Recorder.Record(s)
+	j.Recorder.Record(r)
 }
--- a/jackdawd/internal/relay/stream.go
+++ b/jackdawd/internal/relay/stream.go
@@ -23,17 +23,17 @@
 var errTruncatedEvent = errors.New("the stream ended in the middle of an event")
 
 // relayStream forwards a stream event by event, starting after the last event that was delivered.
-func (j *job) relayStream(ctx context.Context, a *exchange.Response) result {
+func (j *job) relayStream(ctx context.Context, resp *exchange.Response) result {
 	j.splitter.DiscardPending()
-	a.SetReadTimeout(j.firstByteTimeout(j.sentCount))
+	resp.SetReadTimeout(j.firstByteTimeout(j.sentCount))
 	buf := make([]byte, readBufferBytes)
 	for {
-		n, err := a.Read(buf)
+		n, err := resp.Read(buf)
 		if events := j.splitter.Add(buf[:n]); len(events) > 0 {
-			if err := j.writeEvents(a, events); err != nil {
+			if err := j.writeEvents(resp, events); err != nil {
 				return result{verdict: callerLeft, err: err}
 			}
-			j.setEventTimeout(a)
+			j.setEventTimeout(resp)
 		}
 		switch {
 		case errors.Is(err, io.EOF) && (j.splitter.PendingBytes() > 0 || j.splitter.EventCount() == 0):
@@ -52,12 +52,12 @@
 
 // setEventTimeout sets the timeout of the next event, or none if no other upstream could resume the
 // stream.
-func (j *job) setEventTimeout(a *exchange.Response) {
+func (j *job) setEventTimeout(resp *exchange.Response) {
 	if !j.mayFailOver(j.sentCount) {
-		a.SetReadTimeout(0)
+		resp.SetReadTimeout(0)
 		return
 	}
-	a.SetReadTimeout(j.eventTimeout())
+	resp.SetReadTimeout(j.eventTimeout())
 }
 
 // eventTimeout returns how long the next event of a stream may take.
@@ -66,10 +66,10 @@
 }
 
 // writeEvents writes complete events to the caller and flushes them.
-func (j *job) writeEvents(a *exchange.Response, events []byte) error {
+func (j *job) writeEvents(resp *exchange.Response, events []byte) error {
 	if !j.headerSent {
 		// A resumed stream keeps the header of its first upstream.
-		j.writeHeader(a.Status(), a.Header())
+		j.writeHeader(resp.Status(), resp.Header())
 	}
 	now := time.Now()
 	if !j.lastWriteAt.IsZero() {
--- a/jackdawd/internal/relay/watchdog.go
+++ b/jackdawd/internal/relay/watchdog.go
@@ -34,7 +34,7 @@
 	return w
 }
 
-// reset restarts the timer after a sign of life; the next one is due within the given time.
+// reset restarts the timer after the upstream has sent data; more is due within the given time.
 func (w *watchdog) reset(within time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/jackdawd/internal/requestlog/writer.go
+++ b/jackdawd/internal/requestlog/writer.go
@@ -68,7 +68,7 @@
 }
 
 // sampler selects about maxPerSecond requests per second. It selects them by a hash of their
-// identifier, so that hosts that see attempts of the same request select the same requests.
+// ID, so that hosts that see attempts of the same request select the same requests.
 type sampler struct {
 	maxPerSecond  int
 	second        int64
@@ -104,7 +104,7 @@
 		if step.Load.Others > 0 {
 			fields["news-age"] = step.Load.Age.String()
 		}
-		fields["delay"], fields["patience"] = step.Delay.String(), step.MaxWait.String()
+		fields["delay"], fields["patience"] = step.Delay.String(), step.MaxDelay.String()
 		if step.HasPlan {
 			fields["plan-age"] = step.PlanAge.String()
 		}
@@ -117,8 +117,8 @@
 		fields["resume-after"] = step.ResumeAfter
 	case relay.Stopped:
 		fields["reason"] = step.Reason
-		if step.MaxWait > 0 {
-			fields["delay"], fields["patience"] = step.Delay.String(), step.MaxWait.String()
+		if step.MaxDelay > 0 {
+			fields["delay"], fields["patience"] = step.Delay.String(), step.MaxDelay.String()
 		}
 	}
 	if step.Err != nil {
@@ -157,7 +157,7 @@
 		entry.WithFields(logrus.Fields{"first": r.TimeToFirstByte.String(), "longest-pause": r.MaxEventGap.String()}).Info("relay: Answered.")
 	case relay.CallerLeft:
 		entry.Info("relay: The caller disconnected.")
-	case relay.BrokenOff:
+	case relay.Truncated:
 		entry.WithFields(logrus.Fields{"first": r.TimeToFirstByte.String(), "longest-pause": r.MaxEventGap.String()}).Warn("relay: The response was truncated.")
 	case relay.Refused:
 		fields := logrus.Fields{
