--- a/jackdawd/internal/delivery/stream.go
+++ b/jackdawd/internal/delivery/stream.go
@@ -17,8 +17,8 @@
 // ErrSinkClosed is returned if the sink failed because its reader has disconnected.
 var ErrSinkClosed = errors.New("reader of the answer is gone")
 
-// A UnexpectedFrameError is returned if a frame belongs to another request or comes after a gap in the
-// positions.
+// An UnexpectedFrameError is returned if a frame belongs to another request or comes after a gap in
+// the positions.
 type UnexpectedFrameError struct {
 	WantID, GotID             string
 	WantPosition, GotPosition int
@@ -46,8 +46,8 @@
 )
 
 // Copy passes the frames in body to sink, starting at the position in p, and advances p. It returns
-// [ErrBroken] if the response is incomplete and can be resumed, [ErrSink] if the sink failed, or a
-// [*CrossedError].
+// [ErrIncomplete] if the response is incomplete and can be resumed, [ErrSinkClosed] if the sink
+// failed, or an [*UnexpectedFrameError].
 func Copy(body io.Reader, p *Progress, sink Sink) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, initialBufferBytes), maxFrameBytes)
--- a/jackdawd/internal/events/splitter.go
+++ b/jackdawd/internal/events/splitter.go
@@ -14,8 +14,8 @@
 	events  int
 }
 
-// Add appends p to the buffer and returns all complete events in it, nil if there is none. The result
-// is valid until the next call.
+// Add appends p to the buffer and returns all complete events in it, nil if there is none. The
+// result is valid until the next call.
 func (s *Splitter) Add(p []byte) []byte {
 	s.pending = append(s.pending, p...)
 	end := lastEventEnd(s.pending)
@@ -37,13 +37,13 @@
 // DiscardPending discards the incomplete event, whose stream broke off.
 func (s *Splitter) DiscardPending() { s.pending = s.pending[:0] }
 
-// LastEventID returns the identifier of the last complete event that had one, empty if none had.
+// LastEventID returns the ID of the last complete event that had one, empty if none had.
 func (s *Splitter) LastEventID() string { return s.lastID }
 
 // EventCount returns the number of complete events.
 func (s *Splitter) EventCount() int { return s.events }
 
-// trackEvents counts complete events and remembers the identifier of the last one that has any.
+// trackEvents counts complete events and remembers the ID of the last one that has any.
 func (s *Splitter) trackEvents(complete []byte) {
 	for line := range bytes.Lines(complete) {
 		line = bytes.TrimRight(line, "\r\n")
