--- a/common/report/report.go
+++ b/common/report/report.go
@@ -53,7 +53,7 @@
 	Classes    []Class          `json:"classes"`
 	Upstreams  []Upstream       `json:"upstreams"`
 	// StoreEra counts the restores of the platform's store from an older backup that the host knows
-	// of.
+	// of; 0 for a host without a store.
 	StoreEra int64 `json:"store-era,omitempty"`
 	// Quarantined lists the requests that are rejected because upstreams crashed while executing
 	// them.
