--- a/jackdawd/internal/fleet/deadline.go
+++ b/jackdawd/internal/fleet/deadline.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// directReadRatio is the fraction of an operator's bound after which a host that has heard
+	// directReadRatio is the fraction of an operator's bound after which a host that has received
 	// nothing from other hosts reads the store itself. The rest of the bound is left for that read.
 	directReadRatio = 0.8
 	// directReadRetryInterval is the minimum interval between failed direct reads in fleets of at
@@ -26,8 +26,7 @@
 	failed bool
 }
 
-// A BoundError says that an operator's bound is too short to be kept by relying on
-// other hosts.
+// A BoundError says that an operator's bound is too short to be kept by relying on other hosts.
 type BoundError struct {
 	// Bound is the name of the bound, Limit its value.
 	Bound string
@@ -38,16 +37,16 @@
 
 // Error returns the bound and the age it is compared with.
 func (e *BoundError) Error() string {
-	return fmt.Sprintf("bound %s of %s is short: what hosts tell each other may be %s old", e.Bound, e.Limit, e.MaxPeerAge)
+	return fmt.Sprintf("bound %s of %s is too short: data from other hosts may be %s old", e.Bound, e.Limit, e.MaxPeerAge)
 }
 
 // checkBounds returns a BoundError if hosts must read the store themselves to keep a bound.
 func (s *Source) checkBounds() error {
-	if s.maxConfigurationAge() > time.Duration(directReadRatio*float64(s.inForce())) {
-		return &BoundError{Bound: "in-force", Limit: s.inForce(), MaxPeerAge: s.maxConfigurationAge()}
+	if s.maxPeerConfigurationAge() > time.Duration(directReadRatio*float64(s.maxConfigurationAge())) {
+		return &BoundError{Bound: "in-force", Limit: s.maxConfigurationAge(), MaxPeerAge: s.maxPeerConfigurationAge()}
 	}
-	if s.maxListAge() > time.Duration(directReadRatio*float64(s.drain())) {
-		return &BoundError{Bound: "drain", Limit: s.drain(), MaxPeerAge: s.maxListAge()}
+	if s.maxPeerListAge() > time.Duration(directReadRatio*float64(s.maxDrainDelay())) {
+		return &BoundError{Bound: "drain", Limit: s.maxDrainDelay(), MaxPeerAge: s.maxPeerListAge()}
 	}
 	return nil
 }
@@ -57,10 +56,10 @@
 func (s *Source) timeUntilDirectRead() time.Duration {
 	remaining := time.Duration(math.MaxInt64)
 	if age := s.state.Age(); age < unknownAge {
-		remaining = time.Duration(directReadRatio*float64(s.inForce())) - age
+		remaining = time.Duration(directReadRatio*float64(s.maxConfigurationAge())) - age
 	}
 	if age := s.ListAge(); age < unknownAge {
-		remaining = min(remaining, time.Duration(directReadRatio*float64(s.drain()))-age)
+		remaining = min(remaining, time.Duration(directReadRatio*float64(s.maxDrainDelay()))-age)
 	}
 	return remaining
 }
@@ -100,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.ListAge() > c.maxListAge() {
+	if c.ListAge() > c.maxPeerListAge() {
 		c.setFollowing(nil)
 	}
 	return next, nil
--- a/jackdawd/internal/fleet/exchange.go
+++ b/jackdawd/internal/fleet/exchange.go
@@ -22,7 +22,7 @@
 	planAgeTolerance = 50 * time.Millisecond
 	// planBytesPerSecond is a host's budget for sending plans to all its followers. With two
 	// followers, whose other traffic takes 1.4 KB/s each, a host stays below 5 KB/s. A plan of
-	// placement.MostPlanBytes fits for each follower every planInterval.
+	// placement.MaxPlanBytes fits for each follower every planInterval.
 	planBytesPerSecond = 700
 	// planBurstWindow is how far ahead a host may spend the plan budget. A plan triggered by a
 	// sudden rise in requests for one prompt follows the previous one sooner than the budget alone
--- a/jackdawd/internal/fleet/follow.go
+++ b/jackdawd/internal/fleet/follow.go
@@ -80,7 +80,7 @@
 		wait = 0
 	}
 	next, err := c.readConfiguration(ctx, min(wait, c.readerWait()))
-	if err != nil && (c.ListAge() > c.maxListAge() || c.state.Age() > c.maxConfigurationAge()) {
+	if err != nil && (c.ListAge() > c.maxPeerListAge() || c.state.Age() > c.maxPeerConfigurationAge()) {
 		// The other reader may still be served by the store.
 		c.directory.MarkRejected(time.Now())
 	}
@@ -100,7 +100,8 @@
 }
 
 // follow makes one call to the parent, which answers at once if its list of upstreams is older than
-// maxListAge.
+// maxListAge. It returns a new configuration, if any, and the age that the parent's configuration
+// had when the call was made.
 func (c configurations) follow(ctx context.Context, parent Peer, maxListAge time.Duration) (*traffic.Configuration, time.Duration, error) {
 	timeout := c.callTimeout()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -119,13 +120,13 @@
 	if err := c.clientFor(parent).Call(ctx, parent.Address, followCall, &args, &reply); err != nil {
 		c.forgetReported()
 		if ctx.Err() != nil && timeout < maxCallTimeout {
-			// The parent may just have held the call open as long as it was asked to.
+			// The parent may only have held the call open for as long as it was asked to.
 			return nil, 0, errNoTimeLeft
 		}
 		return nil, 0, err
 	}
-	if reply.Behind > c.maxConfigurationAge() || reply.ListBehind > c.maxListAge() {
-		return nil, 0, &StaleError{Reader: parent.Name, Behind: max(reply.Behind, reply.ListBehind)}
+	if reply.Behind > c.maxPeerConfigurationAge() || reply.ListBehind > c.maxPeerListAge() {
+		return nil, 0, &StaleError{Host: parent.Name, Behind: max(reply.Behind, reply.ListBehind)}
 	}
 	c.applyExchange(time.Now(), &reply.Exchange)
 	if !reply.HostsUntil.IsZero() && c.directory.Merge(reply.Hosts, reply.HostsWhole, reply.HostsUntil) {
@@ -211,11 +212,11 @@
 
 // A StaleError says that the parent answers, but has itself lost the store.
 type StaleError struct {
-	Reader string
+	Host   string
 	Behind time.Duration
 }
 
 // Error returns the host and the age of its data.
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("host %s is %s behind", e.Reader, e.Behind.Round(time.Millisecond))
+	return fmt.Sprintf("host %s is %s behind", e.Host, e.Behind.Round(time.Millisecond))
 }
--- a/jackdawd/internal/fleet/limits.go
+++ b/jackdawd/internal/fleet/limits.go
@@ -14,7 +14,7 @@
 	followTimeout = 300 * time.Millisecond
 	// maxCallTimeout is the maximum duration of a follower's call.
 	maxCallTimeout = followPollWait + followTimeout
-	// readerIntervalRatio scales the membership keeper's read interval of the upstreams for
+	// readerIntervalRatio scales the membership tracker's read interval of the upstreams for
 	// readers, so that a follower that has to leave its reader still learns of a change in time.
 	readerIntervalRatio = 0.5
 	// readerWaitRatio is the fraction of the in-force bound for which a reader's read of the
@@ -29,10 +29,10 @@
 	// maxListRetryWait is how long a host that has lost the store waits at most before it reads the
 	// list of upstreams again.
 	maxListRetryWait = 4 * time.Second
-	// defaultUpstreamInterval applies until the upstreams are first requested, defaultInForce where
-	// operators set no bound.
-	defaultUpstreamInterval = 1500 * time.Millisecond
-	defaultInForce          = 2 * time.Second
+	// defaultUpstreamInterval applies until the upstreams are first requested,
+	// defaultMaxConfigurationAge where operators set no bound.
+	defaultUpstreamInterval    = 1500 * time.Millisecond
+	defaultMaxConfigurationAge = 2 * time.Second
 	// unknownAge is the age of data that was never received.
 	unknownAge = time.Hour
 	// largeFleetThreshold is the number of hosts from which on a starting host does not read the
@@ -42,13 +42,13 @@
 	// smallFleetThreshold is the number of hosts below which each retries the store itself when its
 	// parent is stale: the calls are few enough for the store.
 	smallFleetThreshold = 32
-	// minStartWait is how long such a host keeps asking hosts that have no data either, plus up to
-	// startWaitJitter at random.
+	// minStartWait is how long a starting host that does not read the store keeps asking hosts that
+	// have no data either, plus up to startWaitJitter at random.
 	minStartWait    = 1500 * time.Millisecond
 	startWaitJitter = 1500 * time.Millisecond
-	// startRetryInterval is the interval between two calls of such a host.
+	// startRetryInterval is the interval between two calls of such a starting host.
 	startRetryInterval = 50 * time.Millisecond
-	// maxParentsTried is the number of parents that are left in a row before the store is read.
+	// maxParentsTried is how many parents a host tries and leaves in a row before it reads the store.
 	maxParentsTried = 3
 	// staleRetryInterval is the minimum interval between two calls to a stale host.
 	staleRetryInterval = 300 * time.Millisecond
@@ -58,50 +58,52 @@
 	staleSearchMargin = 4 * staleRetryInterval
 	// minStaleWait is the minimum time that a host waits for a stale parent to recover.
 	minStaleWait = 100 * time.Millisecond
-	// drainRatio is the fraction of the drain bound after which a reader's membership keeper
+	// listIntervalRatio is the fraction of the drain bound after which a reader's membership tracker
 	// requests the upstreams again.
-	drainRatio = 0.75
+	listIntervalRatio = 0.75
 )
 
 // searchListAge returns the age of the list of upstreams at which a host with a stale parent asks
 // elsewhere. It leaves time for a call there and a read of the store within the drain bound.
 func (s *Source) searchListAge() time.Duration {
-	return max(s.drain()-staleSearchMargin, s.maxListAge()+minStaleWait)
+	return max(s.maxDrainDelay()-staleSearchMargin, s.maxPeerListAge()+minStaleWait)
 }
 
-// maxListAge returns how old the list of upstreams of a followed host may be.
-func (s *Source) maxListAge() time.Duration {
+// maxPeerListAge returns how old the list of upstreams of a followed host may be.
+func (s *Source) maxPeerListAge() time.Duration {
 	return s.readerInterval() + listAgeSlack
 }
 
 // readerInterval returns how often readers read the list of upstreams. Their followers learn the
 // age of the configuration at the same interval.
 func (s *Source) readerInterval() time.Duration {
-	return time.Duration(readerIntervalRatio * min(float64(s.upstreamInterval.Load()), drainRatio*float64(s.inForce())))
+	return time.Duration(readerIntervalRatio * min(float64(s.upstreamInterval.Load()), listIntervalRatio*float64(s.maxConfigurationAge())))
 }
 
 // readerWait returns how long a reader's read of the configuration is held open.
 func (s *Source) readerWait() time.Duration {
-	return min(maxReaderWait, time.Duration(readerWaitRatio*float64(s.inForce())))
+	return min(maxReaderWait, time.Duration(readerWaitRatio*float64(s.maxConfigurationAge())))
 }
 
-// maxConfigurationAge returns how old the configuration of a followed host may be.
-func (s *Source) maxConfigurationAge() time.Duration {
+// maxPeerConfigurationAge returns how old the configuration of a followed host may be.
+func (s *Source) maxPeerConfigurationAge() time.Duration {
 	return 2*s.readerWait() + s.readerInterval() + configurationAgeSlack
 }
 
-// inForce returns the operators' bound on how long an old configuration may be acted on.
-func (s *Source) inForce() time.Duration {
+// maxConfigurationAge returns the operators' in-force bound: how long an old configuration may be
+// acted on.
+func (s *Source) maxConfigurationAge() time.Duration {
 	if s.options.InForce == nil {
-		return defaultInForce
+		return defaultMaxConfigurationAge
 	}
 	if bound := s.options.InForce(); bound > 0 {
 		return bound
 	}
-	return defaultInForce
+	return defaultMaxConfigurationAge
 }
 
-// drain returns the operators' bound on how long a draining upstream may still be sent requests.
-func (s *Source) drain() time.Duration {
-	return time.Duration(float64(s.upstreamInterval.Load()) / drainRatio)
+// maxDrainDelay returns the operators' drain bound: how long a draining upstream may still be sent
+// requests.
+func (s *Source) maxDrainDelay() time.Duration {
+	return time.Duration(float64(s.upstreamInterval.Load()) / listIntervalRatio)
 }
--- a/jackdawd/internal/fleet/quarantine.go
+++ b/jackdawd/internal/fleet/quarantine.go
@@ -185,7 +185,8 @@
 	return s.quarantineClient
 }
 
-// closeQuarantineClient closes that client. The lock must be held.
+// closeQuarantineClient closes the client for calls about requests that crash upstreams. The lock
+// must be held.
 func (s *Source) closeQuarantineClient() {
 	if s.quarantineClient == nil {
 		return
--- a/jackdawd/internal/fleet/quarantine_notices.go
+++ b/jackdawd/internal/fleet/quarantine_notices.go
@@ -110,7 +110,7 @@
 // it.
 func (s *Source) isHealthyReader() bool {
 	_, hasParent := s.parent()
-	return !hasParent && s.ListAge() <= s.maxListAge()
+	return !hasParent && s.ListAge() <= s.maxPeerListAge()
 }
 
 // followQuarantineNotices applies the notices in the store while this host is a reader, until the
--- a/jackdawd/internal/fleet/search.go
+++ b/jackdawd/internal/fleet/search.go
@@ -27,13 +27,13 @@
 			c.awaitChildren(ctx, c.appliedAt)
 		}
 		callStart, waited := time.Now(), c.options.Uptime()-start
-		maxListAge := c.maxListAge() + time.Millisecond
+		maxListAge := c.maxPeerListAge() + time.Millisecond
 		if outage.logged {
-			// It need not answer until it has the store back.
+			// The parent need not answer until it has the store back.
 			maxListAge = unknownAge
 		}
 		if next, behind, err = c.follow(ctx, parent, maxListAge); err == nil {
-			// Ages count from entry; the time until this call has passed since.
+			// The returned age is as of the start of this function, so waited is subtracted.
 			return next, behind - waited, false, nil
 		}
 		var stale *StaleError
@@ -42,7 +42,7 @@
 			// The store is read next.
 		case starting:
 			if !errors.As(err, &stale) && took > followTimeout {
-				// It has not started yet.
+				// The parent has not started yet.
 				c.suspect(ctx, parent, err)
 			}
 			pause.For(ctx, startRetryInterval)
@@ -52,7 +52,7 @@
 			leftCount++
 			c.leave(ctx, parent, took, err)
 		}
-		if leftCount == maxParentsTried || (leftCount > 0 && (c.ListAge() > c.maxListAge() || c.timeUntilDirectRead() < followTimeout)) {
+		if leftCount == maxParentsTried || (leftCount > 0 && (c.ListAge() > c.maxPeerListAge() || c.timeUntilDirectRead() < followTimeout)) {
 			break
 		}
 	}
@@ -97,7 +97,7 @@
 	}
 	if !outage.logged {
 		outage.logged = true
-		logrus.WithError(err).WithField("peer", stale.Reader).Info("fleet: The parent host has lost the store. Waiting for it.")
+		logrus.WithError(err).WithField("peer", stale.Host).Info("fleet: The parent host has lost the store. Waiting for it.")
 	}
 	if c.ListAge() < c.searchListAge() {
 		return true
@@ -113,7 +113,7 @@
 
 // isReadingStore reports whether this host follows no other one and the store answers it.
 func (s *Source) isReadingStore() bool {
-	return s.following.Load() == nil && s.ListAge() <= s.maxListAge()
+	return s.following.Load() == nil && s.ListAge() <= s.maxPeerListAge()
 }
 
 // allHaveLostStore reports whether all given hosts answer that their data is too old as well.
@@ -139,7 +139,7 @@
 	// In an outage of the store for all, the other host may have data from a reader that read it
 	// later.
 	otherReaderAge := c.ListAge() - c.readerInterval()
-	return reply.List > min(otherReaderAge, c.maxListAge()) || reply.Configuration > c.maxConfigurationAge()
+	return reply.List > min(otherReaderAge, c.maxPeerListAge()) || reply.Configuration > c.maxPeerConfigurationAge()
 }
 
 // errNoTimeLeft says that the store must be read before other hosts are asked again.
--- a/jackdawd/internal/fleet/service.go
+++ b/jackdawd/internal/fleet/service.go
@@ -15,7 +15,7 @@
 	listTimeTolerance = 100 * time.Millisecond
 )
 
-// State is the configuration and the upstreams that this host has; the membership keeper implements
+// State is the configuration and the upstreams that this host has; membership.Tracker implements
 // it.
 type State interface {
 	Changes() *membership.Changes
@@ -62,7 +62,7 @@
 		// This host has just started and its own data is incomplete.
 		return false
 	}
-	if args.Oldest >= unknownAge && s.state.Age() > s.source.maxConfigurationAge() {
+	if args.Oldest >= unknownAge && s.state.Age() > s.source.maxPeerConfigurationAge() {
 		// The follower waits for this host to have the store back. With the list of upstreams alone
 		// it would reject the answer and pause, and so would its own followers, level by level.
 		return false
--- a/jackdawd/internal/fleet/source.go
+++ b/jackdawd/internal/fleet/source.go
@@ -76,7 +76,7 @@
 	QuarantineStore QuarantineStore
 	// Uptime is a monotonic clock that also advances while the host is suspended.
 	Uptime func() time.Duration
-	// InForce returns the operators' bound on how long an old configuration may be acted on.
+	// InForce returns the operators' in-force bound: how long an old configuration may be acted on.
 	InForce func() time.Duration
 	// Decode parses a configuration received from another host.
 	Decode func(document []byte) (*traffic.Configuration, error)
--- a/jackdawd/internal/fleet/store_test.go
+++ b/jackdawd/internal/fleet/store_test.go
@@ -45,7 +45,7 @@
 
 var errUnavailable = errors.New("store is unavailable")
 
-// call takes the time of a call, and fails if the store does not serve the host.
+// call waits for the latency of a call, and fails if the store does not serve the host.
 func (v *storeView) call(ctx context.Context) error {
 	v.mu.Lock()
 	v.calls++
--- a/jackdawd/internal/fleet/tree.go
+++ b/jackdawd/internal/fleet/tree.go
@@ -29,11 +29,12 @@
 	rankingKey = 0x72656164657273
 )
 
-// Hosts follow each other in a tree. The hosts of a failure domain are ranked: the first one is the
-// head, host r follows host (r-1)/fanOut, and hosts behind all that have followers spread over the
-// last of those. Two heads of a region, the readers, read the store, and the other heads follow one
-// of them. Each host skips the hosts that it suspects. While hosts differ in whom they suspect they
-// may follow each other in a cycle; ages then add up until all leave it.
+// Hosts follow each other in a tree. The hosts of a failure domain are ranked, and the first one is
+// the head. Only the first interiorCount hosts have followers: among these, host r follows host
+// (r-1)/fanOut, and the hosts ranked after them are spread over the last of them. Two heads of a
+// region, the readers, read the store, and the other heads follow one of them. Each host skips the
+// hosts that it suspects. While hosts differ in whom they suspect they may follow each other in a
+// cycle; ages then add up until all leave it.
 
 // Parent returns the host that this one follows, or false if it reads the store.
 func (d *Directory) Parent(now time.Time) (Peer, bool) {
--- a/jackdawd/internal/fleet/upstreams.go
+++ b/jackdawd/internal/fleet/upstreams.go
@@ -52,11 +52,11 @@
 				return change, nil
 			}
 		case <-u.parentLeft:
-			// What the other host had not received may already be seconds old.
+			// Changes that the former parent had not received may already be seconds old.
 			u.lossReported = false
 			return u.read(ctx, 0)
 		case <-timer.C:
-			switch stale := u.ListAge() > 2*u.maxListAge(); {
+			switch stale := u.ListAge() > 2*u.maxPeerListAge(); {
 			case stale && !u.lossReported:
 				u.lossReported = true
 				return traffic.UpstreamChange{}, errParentLost
@@ -83,7 +83,7 @@
 		defer timer.Stop()
 		select {
 		case update := <-u.changes:
-			// It was received just before the store is read again.
+			// This update was received before the next read of the store was due.
 			change, _ := u.receive(update)
 			return change, nil
 		case <-recovered:
