--- a/jackdawd/internal/admin/handler.go
+++ b/jackdawd/internal/admin/handler.go
@@ -67,7 +67,7 @@
 		stats := host.ClassStats(name)
 		status.Classes = append(status.Classes, report.Class{
 			Name: name, Target: class.FirstTokenWithin, FirstTokenP95: targets.Duration(stats.FirstTokenP95.Round(time.Millisecond)),
-			Answered: stats.Answered, LateResponses: stats.Late, Refused: stats.Refused,
+			Answered: stats.Answered, LateResponses: stats.LateResponses, Refused: stats.Refused,
 		})
 	}
 	for _, pool := range view.Pools() {
--- a/jackdawd/internal/dispatch/budget.go
+++ b/jackdawd/internal/dispatch/budget.go
@@ -9,34 +9,34 @@
 	maxRetryBalance = 20
 )
 
-// A Budget limits a host's retries to a ratio of its first attempts, so that an
+// A RetryBudget limits a host's retries to a ratio of its first attempts, so that an
 // outage of some upstreams raises the load on the others by that ratio at most.
-type Budget struct {
+type RetryBudget struct {
 	mu         sync.Mutex
 	balance    float64
 	ratio      float64
 	maxBalance float64
 }
 
-// NewBudget returns a full budget with the default ratio and maximum.
-func NewBudget() *Budget {
-	return NewBudgetWithRatio(retryRatio, maxRetryBalance)
+// NewRetryBudget returns a full budget with the default ratio and maximum.
+func NewRetryBudget() *RetryBudget {
+	return NewRetryBudgetWithRatio(retryRatio, maxRetryBalance)
 }
 
-// NewBudgetWithRatio returns a full budget: each first attempt adds ratio retries, up to maxBalance.
-func NewBudgetWithRatio(ratio, maxBalance float64) *Budget {
-	return &Budget{balance: maxBalance, ratio: ratio, maxBalance: maxBalance}
+// NewRetryBudgetWithRatio returns a full budget: each first attempt adds ratio retries, up to maxBalance.
+func NewRetryBudgetWithRatio(ratio, maxBalance float64) *RetryBudget {
+	return &RetryBudget{balance: maxBalance, ratio: ratio, maxBalance: maxBalance}
 }
 
 // Deposit credits the budget for a first attempt.
-func (b *Budget) Deposit() {
+func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.balance = min(b.maxBalance, b.balance+b.ratio)
 }
 
 // TryWithdraw withdraws one retry, and reports whether the budget allowed it.
-func (b *Budget) TryWithdraw() bool {
+func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balance < 1 {
@@ -47,7 +47,7 @@
 }
 
 // Balance returns the retries available, fractions included.
-func (b *Budget) Balance() float64 {
+func (b *RetryBudget) Balance() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.balance
--- a/jackdawd/internal/dispatch/router.go
+++ b/jackdawd/internal/dispatch/router.go
@@ -37,7 +37,7 @@
 	currentView func() *routing.View
 	owner       *Owner
 	peer        Peer
-	budget      *Budget
+	budget      *RetryBudget
 	client      *delivery.Client
 	observer    Observer
 	meter       Meter
@@ -48,7 +48,7 @@
 // the others.
 func NewRouter(currentView func() *routing.View, owner *Owner, peer Peer, client *delivery.Client, observer Observer, meter Meter) *Router {
 	return &Router{
-		currentView: currentView, owner: owner, peer: peer, budget: NewBudget(), client: client, observer: observer, meter: meter,
+		currentView: currentView, owner: owner, peer: peer, budget: NewRetryBudget(), client: client, observer: observer, meter: meter,
 		tracer: otel.Tracer("jackdawd/dispatch"),
 	}
 }
--- a/jackdawd/internal/entry/host.go
+++ b/jackdawd/internal/entry/host.go
@@ -125,7 +125,7 @@
 	h.balancer = placement.NewBalancer(h.loads, h.engines, h.loadMultiple)
 	h.source = fleet.NewSource(fleet.Options{
 		Name: o.Name, FailureDomain: o.FailureDomain, Region: o.Region, Address: o.PeerAddress, Strength: o.Strength, FirstStart: o.FirstStart, HostRegistry: o.HostRegistry,
-		Configurations: o.Configurations, Upstreams: o.Upstreams, Plans: h.balancer, Uptime: uptime, InForce: h.maxConfigurationAge, Decode: o.DecodeConfiguration,
+		Configurations: o.Configurations, Upstreams: o.Upstreams, Plans: h.balancer, Uptime: uptime, MaxConfigurationAge: h.maxConfigurationAge, DecodeConfiguration: o.DecodeConfiguration,
 		Quarantine: h.quarantine, QuarantineStore: o.QuarantineStore,
 	})
 	h.tracker = membership.NewTracker(membership.Options{
@@ -135,7 +135,7 @@
 	h.client = exchange.NewClient(o.Protocol, nil)
 	h.budgets = relay.NewRetryBudgets(o.Bounds.RetryRatio)
 	h.handler = relay.NewHandler(relay.Options{
-		Protocol: o.Protocol, Membership: h.tracker, Client: h.client, Loads: h.loads, Balancer: h.balancer, Warmth: placement.NewCacheLocations(), Turnovers: placement.NewRequestStats(),
+		Protocol: o.Protocol, Membership: h.tracker, Client: h.client, Loads: h.loads, Balancer: h.balancer, CacheLocations: placement.NewCacheLocations(), RequestStats: placement.NewRequestStats(),
 		RetryBudgets: h.budgets, Admission: admission.NewController(), Quarantine: h.quarantine, Backoffs: relay.NewBackoffs(), Recorder: requestlog.NewWriter(o.RoutineLogger, o.AnomalyLogger, o.Meter),
 		FailureDomain: o.FailureDomain, InSameRegion: o.InSameRegion, MaxTotalBodyBytes: o.MaxTotalBodyBytes, LoadMultiple: h.loadMultiple, HostCount: h.hostCount,
 	})
@@ -152,7 +152,7 @@
 				return
 			case now := <-ticker.C:
 				h.conns.closeExpired(now, h.idleTimeout())
-				h.loads.Forget(now)
+				h.loads.RemoveUnused(now)
 			}
 		}
 	}()
--- a/jackdawd/internal/fleet/follow.go
+++ b/jackdawd/internal/fleet/follow.go
@@ -151,7 +151,7 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		if next, err = c.options.Decode(document); err != nil {
+		if next, err = c.options.DecodeConfiguration(document); err != nil {
 			return nil, 0, err
 		}
 	}
--- a/jackdawd/internal/fleet/limits.go
+++ b/jackdawd/internal/fleet/limits.go
@@ -93,10 +93,10 @@
 // maxConfigurationAge returns the operators' in-force bound: how long an old configuration may be
 // acted on.
 func (s *Source) maxConfigurationAge() time.Duration {
-	if s.options.InForce == nil {
+	if s.options.MaxConfigurationAge == nil {
 		return defaultMaxConfigurationAge
 	}
-	if bound := s.options.InForce(); bound > 0 {
+	if bound := s.options.MaxConfigurationAge(); bound > 0 {
 		return bound
 	}
 	return defaultMaxConfigurationAge
--- a/jackdawd/internal/fleet/newest.go
+++ b/jackdawd/internal/fleet/newest.go
@@ -78,5 +78,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.options.Decode(document)
+	return c.options.DecodeConfiguration(document)
 }
--- a/jackdawd/internal/fleet/source.go
+++ b/jackdawd/internal/fleet/source.go
@@ -76,10 +76,10 @@
 	QuarantineStore QuarantineStore
 	// Uptime is a monotonic clock that also advances while the host is suspended.
 	Uptime func() time.Duration
-	// InForce returns the operators' in-force bound: how long an old configuration may be acted on.
-	InForce func() time.Duration
-	// Decode parses a configuration received from another host.
-	Decode func(document []byte) (*traffic.Configuration, error)
+	// MaxConfigurationAge returns the operators' in-force bound: how long an old configuration may be acted on.
+	MaxConfigurationAge func() time.Duration
+	// DecodeConfiguration parses a configuration received from another host.
+	DecodeConfiguration func(document []byte) (*traffic.Configuration, error)
 	// Listen and Dial create connections between hosts, over TCP if nil.
 	Listen func(address string) (net.Listener, error)
 	Dial   peers.DialFunc
--- a/jackdawd/internal/membership/tracker.go
+++ b/jackdawd/internal/membership/tracker.go
@@ -151,8 +151,8 @@
 	return t.Age() < t.bounds.Load().MaxRevocationDelay-revocationMargin
 }
 
-// Current reports whether the configuration is as recent as polling should make it.
-func (t *Tracker) Current() bool { return t.Age() < 2*t.pollWait()+minRetryInterval }
+// IsCurrent reports whether the configuration is as recent as polling should make it.
+func (t *Tracker) IsCurrent() bool { return t.Age() < 2*t.pollWait()+minRetryInterval }
 
 // StaleTime returns how long in all the configuration was older than polling should make it.
 func (t *Tracker) StaleTime() time.Duration { return time.Duration(t.staleTotal.Load()) }
@@ -291,7 +291,7 @@
 
 // trackAge adds up, and logs, for how long the configuration is older than it should be.
 func (t *Tracker) trackAge(s *state) {
-	if !t.Current() {
+	if !t.IsCurrent() {
 		t.staleTotal.Add(int64(tickInterval))
 	}
 	bound, age := t.bounds.Load().MaxConfigurationAge, t.Age()
--- a/jackdawd/internal/placement/loads.go
+++ b/jackdawd/internal/placement/loads.go
@@ -202,8 +202,8 @@
 	return Backlog{Running: running, Waiting: max(waiting, 0), HadQueue: r.waiting > 0}
 }
 
-// Forget drops upstreams that have no requests of this host and were not used for a minute.
-func (l *Loads) Forget(now time.Time) {
+// RemoveUnused drops upstreams that have no requests of this host and were not used for a minute.
+func (l *Loads) RemoveUnused(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for hash, e := range l.byHash {
--- a/jackdawd/internal/relay/attempt.go
+++ b/jackdawd/internal/relay/attempt.go
@@ -58,7 +58,7 @@
 	now := time.Now()
 	j.attemptStartedAt = now
 	j.Loads.Begin(now, u)
-	j.Turnovers.RecordStart(now, j.pool.Name)
+	j.RequestStats.RecordStart(now, j.pool.Name)
 	if j.cacheable {
 		j.Balancer.Begin(j.affinityKey)
 	}
@@ -68,7 +68,7 @@
 		now := time.Now()
 		j.Loads.End(now, u)
 		if complete {
-			j.Turnovers.RecordEnd(now, j.pool.Name, j.route.Name, now.Sub(j.attemptStartedAt))
+			j.RequestStats.RecordEnd(now, j.pool.Name, j.route.Name, now.Sub(j.attemptStartedAt))
 		}
 		if j.cacheable {
 			j.Balancer.End(j.affinityKey)
@@ -147,7 +147,7 @@
 // returns it.
 func (j *job) conclude(ctx context.Context, u *traffic.Upstream, r result) result {
 	if r.verdict == answered && j.cacheable {
-		j.Warmth.Record(time.Now(), j.affinityKey, u.Instance())
+		j.CacheLocations.Record(time.Now(), j.affinityKey, u.Instance())
 	}
 	j.reportToQuarantine(u, r)
 	switch r.verdict {
--- a/jackdawd/internal/relay/budgets.go
+++ b/jackdawd/internal/relay/budgets.go
@@ -19,12 +19,12 @@
 type RetryBudgets struct {
 	ratio  float64
 	mu     sync.Mutex
-	byPool map[string]*dispatch.Budget
+	byPool map[string]*dispatch.RetryBudget
 }
 
 // NewRetryBudgets returns budgets for a ratio of retries to requests that the whole fleet must keep.
 func NewRetryBudgets(ratio float64) *RetryBudgets {
-	return &RetryBudgets{ratio: ratio * hostRatioFactor, byPool: map[string]*dispatch.Budget{}}
+	return &RetryBudgets{ratio: ratio * hostRatioFactor, byPool: map[string]*dispatch.RetryBudget{}}
 }
 
 // SetRatio changes the fleet's retry ratio; a different ratio resets all budgets.
@@ -54,12 +54,12 @@
 	return remaining
 }
 
-func (b *RetryBudgets) pool(name string) *dispatch.Budget {
+func (b *RetryBudgets) pool(name string) *dispatch.RetryBudget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	budget, ok := b.byPool[name]
 	if !ok {
-		budget = dispatch.NewBudgetWithRatio(b.ratio, maxBurst)
+		budget = dispatch.NewRetryBudgetWithRatio(b.ratio, maxBurst)
 		b.byPool[name] = budget
 	}
 	return budget
--- a/jackdawd/internal/relay/handler.go
+++ b/jackdawd/internal/relay/handler.go
@@ -65,9 +65,9 @@
 	Age() time.Duration
 	// HonorsKeys reports whether the configuration is recent enough to accept its keys.
 	HonorsKeys() bool
-	// Current reports whether the configuration is recent enough to reject a key or a path that it
+	// IsCurrent reports whether the configuration is recent enough to reject a key or a path that it
 	// lacks.
-	Current() bool
+	IsCurrent() bool
 	// Observe records the result of an attempt at an upstream.
 	Observe(instance traffic.UpstreamInstance, result control.Result)
 	// RemoveReplaced records that another upstream has taken over the address.
@@ -78,19 +78,19 @@
 
 // Options are the dependencies and settings of a Handler.
 type Options struct {
-	Protocol      Protocol
-	Membership    Membership
-	Client        *exchange.Client
-	Loads         *placement.Loads
-	Balancer      *placement.Balancer
-	Warmth        *placement.CacheLocations
-	Turnovers     *placement.RequestStats
-	RetryBudgets  *RetryBudgets
-	Admission     *admission.Controller
-	Quarantine    Quarantine
-	Backoffs      *Backoffs
-	Recorder      Recorder
-	FailureDomain string
+	Protocol       Protocol
+	Membership     Membership
+	Client         *exchange.Client
+	Loads          *placement.Loads
+	Balancer       *placement.Balancer
+	CacheLocations *placement.CacheLocations
+	RequestStats   *placement.RequestStats
+	RetryBudgets   *RetryBudgets
+	Admission      *admission.Controller
+	Quarantine     Quarantine
+	Backoffs       *Backoffs
+	Recorder       Recorder
+	FailureDomain  string
 	// InSameRegion reports whether a failure domain is in this host's region.
 	InSameRegion func(failureDomain string) bool
 	// LoadMultiple returns how many times the mean load of its pool an upstream may carry.
@@ -197,7 +197,7 @@
 		j.route = route
 		return nil
 	}
-	if !j.Membership.Current() {
+	if !j.Membership.IsCurrent() {
 		// The route may be in a newer configuration that this host has not read yet.
 		return work.NewRefusal(http.StatusServiceUnavailable, work.NotReady, "the configuration here is out of date").WithRetryAfter(retryAfterUnavailable)
 	}
@@ -218,7 +218,7 @@
 		j.workspace = workspace
 		return nil
 	}
-	if !j.Membership.Current() {
+	if !j.Membership.IsCurrent() {
 		return work.NewRefusal(http.StatusServiceUnavailable, work.NotReady, "the configuration here is out of date").WithRetryAfter(retryAfterUnavailable)
 	}
 	return work.NewRefusal(http.StatusUnauthorized, work.Unauthenticated, "the key is unknown")
--- a/jackdawd/internal/relay/place.go
+++ b/jackdawd/internal/relay/place.go
@@ -62,8 +62,8 @@
 		Upstreams: upstreams, Loads: j.Loads.All(time.Now(), upstreams), Key: j.affinityKey, Cacheable: j.cacheable,
 		Delay: j.expectedDelay, Stuck: j.isStuck, MaxDelay: j.maxDelay(),
 		FailureDomain: j.FailureDomain, LoadMultiple: j.LoadMultiple(), Hosts: j.HostCount(), Random: rand.Uint64(),
-		Plan: j.Balancer.LocalPlan(time.Now()), Pool: j.pool.Name, ReportsLag: j.Turnovers.ReportsLag(time.Now(), j.pool.Name),
-		Lifetime: j.Turnovers.MeanLifetime(time.Now(), j.pool.Name), SharedTokens: j.request.SharedTokens(), MeanDuration: j.Turnovers.MeanDuration(j.route.Name),
+		Plan: j.Balancer.LocalPlan(time.Now()), Pool: j.pool.Name, ReportsLag: j.RequestStats.ReportsLag(time.Now(), j.pool.Name),
+		Lifetime: j.RequestStats.MeanLifetime(time.Now(), j.pool.Name), SharedTokens: j.request.SharedTokens(), MeanDuration: j.RequestStats.MeanDuration(j.route.Name),
 	}
 }
 
@@ -102,5 +102,5 @@
 	if !j.cacheable {
 		return nil
 	}
-	return j.Warmth.Source(time.Now(), j.affinityKey, dest, j.snapshot)
+	return j.CacheLocations.Source(time.Now(), j.affinityKey, dest, j.snapshot)
 }
--- a/jackdawd/internal/telemetry/meter.go
+++ b/jackdawd/internal/telemetry/meter.go
@@ -54,9 +54,9 @@
 // ClassStats counts a class's responses and refusals since the host started.
 type ClassStats struct {
 	Answered int64
-	// Late counts the responses whose first token came after the class's target.
-	Late    int64
-	Refused int64
+	// LateResponses counts the responses whose first token came after the class's target.
+	LateResponses int64
+	Refused       int64
 	// FirstTokenP95 is the 95th percentile of the time to the first token over recent responses.
 	FirstTokenP95 time.Duration
 }
@@ -64,7 +64,7 @@
 // ClassStats returns the statistics of a class.
 func (m *Meter) ClassStats(class string) ClassStats {
 	firstToken := m.timer("first_token_seconds", class)
-	stats := ClassStats{Answered: firstToken.Count(), Late: m.lateCounter(class).Count(), FirstTokenP95: time.Duration(firstToken.Percentile(targetPercentile))}
+	stats := ClassStats{Answered: firstToken.Count(), LateResponses: m.lateCounter(class).Count(), FirstTokenP95: time.Duration(firstToken.Percentile(targetPercentile))}
 	prefix := strings.Join([]string{"refusals", "class", class, ""}, labelSeparator)
 	m.registry.Each(func(name string, metric any) {
 		if c, ok := metric.(metrics.Counter); ok && strings.HasPrefix(name, prefix) {
